--- a/programs/daemon/control.c
+++ b/programs/daemon/control.c
@@ -1,5 +1,5 @@
-/* The control role: keeps the configuration, gathers announcements and
- * hands tables to nodes. */
+/* The control role: stores the configuration, collects the announcements of
+ * agents and distributes tables to nodes. */
 #include "control.h"
 
 #include <sodium.h>
@@ -9,7 +9,7 @@
 #include "rp_clock.h"
 
 #define TICK_MS 20
-#define REPORT_US (1 * RP_US_PER_SECOND)
+#define REPORT_INTERVAL_US (1 * RP_US_PER_SECOND)
 
 static const struct rp_setting settings_table[] = {
     RP_COMMON_SETTINGS(control_settings, common),
@@ -17,38 +17,40 @@
      .kind = RP_SETTING_ENDPOINT,
      .offset = offsetof(struct control_settings, listen),
      .value = "ADDR:PORT",
-     .help = "serve nodes, operators and other replicas here"},
+     .help = "accept connections from nodes, operators and other replicas on "
+             "this address"},
     {.flag = "data",
      .kind = RP_SETTING_TEXT,
      .offset = offsetof(struct control_settings, data),
      .value = "FOLDER",
-     .help = "keep the durable state here; without it this instance keeps "
-             "nothing and only names others",
+     .help = "store the state in this folder; without it this instance "
+             "stores nothing and only redirects to the others",
      .optional = true},
     {.flag = "control",
      .kind = RP_SETTING_ENDPOINTS,
      .offset = offsetof(struct control_settings, peers),
      .value = "ADDR:PORT,…",
-     .help = "the control instances, this one too",
+     .help = "addresses of all control instances, including this one",
      .optional = true},
     {.flag = "create",
      .kind = RP_SETTING_SWITCH,
      .offset = offsetof(struct control_settings, create),
-     .help = "make the first replica of a new system, then exit"},
+     .help = "create the first replica of a new system, then exit"},
     {.flag = "check-data",
      .kind = RP_SETTING_SWITCH,
      .offset = offsetof(struct control_settings, check_data),
-     .help = "check the data folder, print what was found and exit"},
+     .help = "check the data folder, print the result and exit"},
     {.flag = "bootstrap",
      .kind = RP_SETTING_SWITCH,
      .offset = offsetof(struct control_settings, bootstrap),
-     .help = "the whole system starts for the first time: the control "
-             "instances listed are its first replicas"},
+     .help = "first start of a new system: the instances in --control are "
+             "its initial replicas"},
     {.flag = "operator-http",
      .kind = RP_SETTING_ENDPOINT,
      .offset = offsetof(struct control_settings, operator_http),
      .value = "ADDR:PORT",
-     .help = "take whole configurations of the operator over HTTP here",
+     .help = "accept whole configurations from the operator over HTTP on this "
+             "address",
      .optional = true},
     RP_CONTROL_PORT_SETTING(control_settings, control_port),
 };
@@ -81,7 +83,7 @@
 {
     const struct control *control = user;
 
-    /* Before the role runs (--create) there is nobody to tell. */
+    /* With --create no nodes are served and no distribution exists. */
     if (control->distribution) {
         RpControl_Applied(user, entry, reply);
     }
@@ -117,7 +119,7 @@
     .failed = on_failed};
 
 static void
-propose(struct control *control, GString *command)
+propose_command(struct control *control, GString *command)
 {
     uint64_t index;
     uint64_t term;
@@ -129,10 +131,10 @@
     g_string_free(command, TRUE);
 }
 
-/* What a leader does of itself: a new system gets its hash key; addresses
- * that nobody uses any more are released. */
+/* Runs the leader's own duties: gives a new system its hash key, and releases
+ * the addresses in quarantine once no node uses them any more. */
 static void
-lead(struct control *control, int64_t now)
+run_leader_duties(struct control *control, int64_t now)
 {
     const struct rp_catalog *catalog = catalog_of(control);
     uint8_t hash_key[RP_HASH_KEY_SIZE];
@@ -142,38 +144,43 @@
     }
     if (!RpCatalog_IsInitialised(catalog)) {
         randombytes_buf(hash_key, sizeof hash_key);
-        propose(control, RpCatalog_EncodeInit(hash_key));
+        propose_command(control, RpCatalog_EncodeInit(hash_key));
         return;
     }
-    uint64_t wanted = RpCatalog_QuarantineRevision(catalog);
+    uint64_t quarantine_revision = RpCatalog_QuarantineRevision(catalog);
     uint64_t own = RpDistribution_LowestConfirmed(control->distribution);
-    if (wanted && RpControlLinks_Lowest(control->links, now, own) >= wanted) {
-        propose(control, RpCatalog_EncodeRelease(wanted));
+    if (quarantine_revision &&
+        RpControlLinks_Lowest(control->links, now, own) >=
+            quarantine_revision) {
+        propose_command(control, RpCatalog_EncodeRelease(quarantine_revision));
     }
 }
 
-/* Tells the other replicas what this one's nodes run at least. */
+/* Runs once per REPORT_INTERVAL_US: sends the other replicas the lowest
+ * revision that this replica's nodes have confirmed, and runs the leader's
+ * duties. */
 static void
-report(struct control *control, int64_t now)
+run_periodic_tasks(struct control *control, int64_t now)
 {
     if (now < control->next_report) {
         return;
     }
-    control->next_report = now + REPORT_US;
+    control->next_report = now + REPORT_INTERVAL_US;
     const struct rp_msg msg = {
         .type = RP_MSG_CONFIRM,
         .confirm = {.revision = RpDistribution_LowestConfirmed(
                         control->distribution)}};
     RpControlLinks_SendAll(control->links, &msg);
     if (RpReplica_Role(replica_of(control)) == RP_REPLICA_LEADER) {
-        lead(control, now);
+        run_leader_duties(control, now);
     }
 }
 
-/* Tells whoever depends on it that this replica is cut off or no longer, and
- * sends its nodes to another one where that may serve them better. */
+/* Updates whether this replica is fresh or cut off from the leader, in the
+ * parts that depend on it, and closes its nodes' connections when another
+ * replica may serve them better. */
 static void
-review_standing(struct control *control, int64_t now)
+update_freshness(struct control *control, int64_t now)
 {
     bool has_log = RpReplica_Members(replica_of(control))->len > 0;
     bool fresh = RpReplica_IsFresh(replica_of(control), now);
@@ -209,9 +216,9 @@
     }
 }
 
-/* A line for each change of what this replica believes of the election. */
+/* Logs a line when the role, leader or term of this replica has changed. */
 static void
-log_role(struct control *control)
+log_role_change(struct control *control)
 {
     const struct rp_replica *replica = replica_of(control);
     const struct rp_replica_member *leader = RpReplica_Leader(replica);
@@ -240,11 +247,11 @@
     int64_t now = RpClock_Now();
 
     RpControlReplica_Tick(control->replica, now);
-    log_role(control);
+    log_role_change(control);
     RpControlLinks_Tick(control->links, now);
-    review_standing(control, now);
+    update_freshness(control, now);
     expire_leases(control, now);
-    report(control, now);
+    run_periodic_tasks(control, now);
     RpDistribution_Flush(control->distribution, now);
     RpControl_TellMembers(control);
     if (control->editions) {
@@ -297,10 +304,10 @@
     RpDaemon_Quit(&control->daemon, RP_EXIT_OK);
 }
 
-/* The identity of a first replica, which the others must know beforehand:
- * it follows from its address. */
+/* Derives the id of an initial replica from its address, because the other
+ * initial replicas must know it in advance. */
 static uint64_t
-seat_id(struct rp_endpoint address)
+derive_replica_id(struct rp_endpoint address)
 {
     static const uint8_t key[crypto_shorthash_KEYBYTES] = "replica-seat-v1";
     char text[RP_ENDPOINT_TEXT_MAX];
@@ -312,7 +319,7 @@
 }
 
 static bool
-is_first_replica(const struct control *control)
+is_initial_replica(const struct control *control)
 {
     const struct rp_endpoints *peers = &control->settings.peers;
 
@@ -325,13 +332,15 @@
 }
 
 static uint64_t
-first_id(const struct control *control)
+initial_replica_id(const struct control *control)
 {
-    return is_first_replica(control) ? seat_id(control->settings.listen) : 0;
+    return is_initial_replica(control)
+               ? derive_replica_id(control->settings.listen)
+               : 0;
 }
 
 static gint
-compare_members(gconstpointer a, gconstpointer b)
+compare_member_ids(gconstpointer a, gconstpointer b)
 {
     uint64_t left = ((const struct rp_replica_member *)a)->id;
     uint64_t right = ((const struct rp_replica_member *)b)->id;
@@ -339,25 +348,28 @@
     return (left > right) - (left < right);
 }
 
-/* Every first replica makes the same list, whatever the order in which the
- * settings name them. Names are not known yet. */
+/* Creates the initial members. They are sorted by id, so that every initial
+ * replica creates the same list whatever the order of the addresses in its
+ * settings. The replicas' names are not known yet, so placeholders are
+ * used. */
 static void
-create_group(struct control *control)
+create_initial_members(struct control *control)
 {
     const struct rp_endpoints *peers = &control->settings.peers;
     GArray *members = RpSchema_NewList(&rp_replica_member_schema);
 
     for (size_t i = 0; i < peers->count; i++) {
-        struct rp_replica_member member = {.id = seat_id(peers->item[i]),
-                                           .ip = peers->item[i].ip,
-                                           .port = peers->item[i].port,
-                                           .voter = 1};
+        struct rp_replica_member member = {
+            .id = derive_replica_id(peers->item[i]),
+            .ip = peers->item[i].ip,
+            .port = peers->item[i].port,
+            .voter = 1};
         gchar *name = g_strdup_printf("first-%08x-%u", member.ip, member.port);
         RpName_Set(&member.name, RpStr_FromC(name));
         g_free(name);
         g_array_append_val(members, member);
     }
-    g_array_sort(members, compare_members);
+    g_array_sort(members, compare_member_ids);
     RpControlReplica_CreateGroup(control->replica, members);
     g_array_free(members, TRUE);
 }
@@ -366,10 +378,11 @@
 on_reload(void *user, const void *settings)
 {
     struct control *control = user;
-    struct control_settings fresh = *(const struct control_settings *)settings;
+    struct control_settings updated = *(
+        const struct control_settings *)settings;
 
-    RpDaemon_SetPorts(&fresh.peers, fresh.control_port);
-    control->settings.peers = fresh.peers;
+    RpDaemon_SetPorts(&updated.peers, updated.control_port);
+    control->settings.peers = updated.peers;
 }
 
 static bool
@@ -393,9 +406,9 @@
     struct rp_error error;
 
     RpError_Init(&error);
-    control->replica = RpControlReplica_Open(control->settings.data->str,
-                                             first_id(control), RpClock_Now(),
-                                             &replica_ops, control, &error);
+    control->replica = RpControlReplica_Open(
+        control->settings.data->str, initial_replica_id(control),
+        RpClock_Now(), &replica_ops, control, &error);
     RpDaemon_PrintFindings(&error);
     RpError_Clear(&error);
     return control->replica != NULL;
@@ -404,23 +417,21 @@
 static int
 check_data(const struct control_settings *settings)
 {
-    struct rp_journal_report report_of_data;
+    struct rp_journal_report report;
     struct rp_error error;
 
     RpError_Init(&error);
-    enum rp_code code = RpJournal_Check(settings->data->str, &report_of_data,
-                                        &error);
+    enum rp_code code = RpJournal_Check(settings->data->str, &report, &error);
     printf("records=%" G_GUINT64_FORMAT " bytes=%" G_GUINT64_FORMAT
            " torn_bytes=%" G_GUINT64_FORMAT " result=%s\n",
-           report_of_data.records, report_of_data.bytes,
-           report_of_data.torn_bytes, RpCode_Name(code));
+           report.records, report.bytes, report.torn_bytes, RpCode_Name(code));
     RpDaemon_PrintFindings(&error);
     RpError_Clear(&error);
     return code == RP_OK ? RP_EXIT_OK : RP_EXIT_FAILED;
 }
 
 static int
-create(struct control *control)
+create_system(struct control *control)
 {
     const struct rp_replica_member self = {
         .name = control->settings.common.name,
@@ -440,12 +451,12 @@
     if (code != RP_OK) {
         return RP_EXIT_FAILED;
     }
-    printf("created; now start this replica without --create\n");
+    printf("created the first replica; start it now without --create\n");
     return RP_EXIT_OK;
 }
 
 static bool
-start(struct control *control)
+start_role(struct control *control)
 {
     if (!open_replica(control)) {
         return false;
@@ -465,10 +476,10 @@
     RpDistribution_GatherUntil(control->distribution,
                                RpClock_Now() + RP_GATHER_US);
     RpControlReplica_SetCounters(control->replica, &control->daemon.counters);
-    if (is_first_replica(control)) {
-        create_group(control);
+    if (is_initial_replica(control)) {
+        create_initial_members(control);
     }
-    review_standing(control, RpClock_Now());
+    update_freshness(control, RpClock_Now());
     return RpControl_Listen(control) && open_editions(control) &&
            RpDaemon_OpenAdmin(&control->daemon, &control->settings.common,
                               &admin_ops, control);
@@ -483,9 +494,9 @@
     if (!RpDaemon_ReadSettings(
             settings_table, G_N_ELEMENTS(settings_table),
             "radishportd control",
-            "Keeps the configuration on disk, gathers announcements and "
-            "hands tables to nodes.\nThe first replica of a system is made "
-            "with --create, once; others join by themselves.",
+            "Stores the configuration on disk, collects announcements and "
+            "distributes tables to nodes.\nCreate the first replica of a "
+            "system once with --create; others join by themselves.",
             argc, argv, &control.settings, &exit_code)) {
         return exit_code;
     }
@@ -498,7 +509,8 @@
     RpDaemon_SetPorts(&control.settings.peers, control.settings.control_port);
     if (!control.settings.data) {
         if (control.settings.check_data || control.settings.create) {
-            fprintf(stderr, "--data: is required with this flag\n");
+            fprintf(stderr,
+                    "--data: is required with --create and --check-data\n");
             return RP_EXIT_SETTINGS;
         }
         return RpControlRelay_Run(&control.settings, &source);
@@ -507,13 +519,13 @@
         return check_data(&control.settings);
     }
     if (control.settings.create) {
-        return create(&control);
+        return create_system(&control);
     }
     if (!RpDaemon_Start(&control.daemon, RP_ROLE_CONTROL,
                         &control.settings.common, on_stop, &control)) {
         return control.daemon.exit_code;
     }
-    if (!start(&control)) {
+    if (!start_role(&control)) {
         return RP_EXIT_FAILED;
     }
     RpDaemon_WatchSettings(&control.daemon, &source, on_reload, &control);
--- a/programs/daemon/control.h
+++ b/programs/daemon/control.h
@@ -1,4 +1,5 @@
-/* The control role's own parts, shared by the control*.c files. */
+/* State of the control role, and the functions that the control*.c files
+ * provide to each other. */
 #ifndef RP_CONTROL_H
 #define RP_CONTROL_H
 
@@ -18,7 +19,8 @@
     bool check_data;
     bool bootstrap;
     uint32_t control_port;
-    struct rp_endpoint operator_http; /* port 0: not served */
+    struct rp_endpoint operator_http; /* port 0: no HTTP endpoint for the
+                                       * operator */
 };
 
 struct control_links;
@@ -31,85 +33,106 @@
     struct rp_registry *registry;
     struct rp_distribution *distribution;
     struct control_links *links;
-    struct control_editions *editions; /* NULL: not served */
-    uint64_t told_members; /* what nodes were last told of the replicas */
+    struct control_editions *editions; /* NULL: no HTTP endpoint for the
+                                        * operator */
+    uint64_t told_members; /* digest of the replica list that nodes were
+                            * last sent */
     GSocketService *listener;
     GHashTable *clients; /* connection number -> struct client */
     GHashTable *pending; /* log index -> struct pending_change */
-    int64_t changed_at;  /* when the newest change was decided; 0: none */
+    int64_t changed_at;  /* when the newest change was applied; 0: none */
     struct rp_standing standing;
+    /* Role, leader and term in the last "replica_role" log line. */
     enum rp_replica_role was_role;
-    uint64_t was_leader; /* id; 0: none known */
+    uint64_t was_leader; /* replica id; 0: none known */
     uint64_t was_term;
-    int64_t next_report; /* of what this replica's nodes run */
+    int64_t next_report; /* when to run the periodic tasks again */
 };
 
-/* control_nodes.c: nodes, operators and other replicas that connect here. */
+/* control_nodes.c: accepts connections of nodes, operators and other
+ * replicas. */
+
+/* Listens for TCP connections. False after printing the error. */
 bool RpControl_Listen(struct control *control);
+
+/* Sends a message to the node on this connection, if it is still open. */
 void RpControl_SendTable(void *user, uint64_t connection,
                          const struct rp_msg *msg);
 
-/* A command has been applied: answers whoever waits for it and hands the
- * change to the nodes. */
+/* Handles an applied command: sends changes to the nodes, and replies to the
+ * operator that waits for the command. */
 void RpControl_Applied(void *user, const struct rp_log_entry *entry,
                        const struct rp_msg_change_reply *reply);
 
-/* Closes the connections of all nodes, so that they try another replica. */
+/* Closes the connections of all nodes, so that they connect to another
+ * replica. */
 void RpControl_SendNodesAway(struct control *control);
 
-/* Merges an announcement and tells those whom it concerns; `via` is the
- * replica that passed it on, or NULL. */
+/* Merges an announcement into the registry. If it changes a table, updates the
+ * affected nodes and, when it comes from an agent, forwards it to the other
+ * replicas. `via` is the replica that forwarded it, or NULL if it comes from
+ * an agent connected here. */
 enum rp_registry_change
 RpControl_Announce(struct control *control,
                    const struct rp_msg_announce *announce,
                    const struct rp_name *via);
 
-/* Tells all nodes where the replicas are, if that has changed. */
+/* Sends all nodes the addresses of the replicas, if the members have
+ * changed. */
 void RpControl_TellMembers(struct control *control);
 
-/* control_relay.c: a control instance without a disk; returns the process's
- * exit code. */
+/* control_relay.c: runs a control instance without a disk; returns the
+ * process's exit code. */
 int RpControlRelay_Run(const struct control_settings *settings,
                        const struct rp_settings_source *source);
 
-/* control_editions.c: the operator's editions. NULL with a finding on
- * failure. */
+/* control_editions.c: serves the operator's configurations (editions) over
+ * HTTP. Returns NULL and adds a finding on failure. */
 struct control_editions *RpControlEditions_Open(struct control *control,
                                                 struct rp_error *error);
 void RpControlEditions_Close(struct control_editions *editions);
 
-/* Answers what can be answered now, and what has waited too long. */
+/* Answers each pending request that can be answered now or whose deadline has
+ * passed. */
 void RpControlEditions_Review(struct control_editions *editions, int64_t now);
 
-/* An edition was applied: answers whoever sent it. */
+/* Handles an applied edition: answers the request that proposed it. */
 void RpControlEditions_Applied(struct control_editions *editions,
                                const struct rp_log_entry *entry,
                                const struct rp_msg_change_reply *reply);
 
 /* control_links.c: connections to the other replicas. */
 struct control_links *RpControlLinks_Create(struct control *control);
+
+/* Connects to replicas that are not connected, and asks to join if this
+ * replica is not a member. */
 void RpControlLinks_Tick(struct control_links *links, int64_t now);
+
+/* Sends to the replica with the id `to`, if it is connected. */
 void RpControlLinks_Send(struct control_links *links, uint64_t to,
                          const struct rp_msg *msg);
 
-/* A replica with this id spoke under this name. */
+/* Records the instance name of the replica with this id. */
 void RpControlLinks_Heard(struct control_links *links, uint64_t id,
                           const struct rp_name *name);
 
-/* A replica at this address has connected to us: what was tried while its
- * machine was down is tried again at once. */
+/* Handles an incoming connection from a replica at this address. An own
+ * attempt to connect to it that began while its machine was down is restarted
+ * at once. */
 void RpControlLinks_PeerCalled(struct control_links *links, int64_t now,
                                uint32_t ip);
 
-/* Sends to every replica that is connected. */
+/* Sends to every connected replica. */
 void RpControlLinks_SendAll(struct control_links *links,
                             const struct rp_msg *msg);
 
-/* Notes what another replica's nodes run at least. */
+/* Records the lowest revision that all nodes of another replica have
+ * confirmed. */
 void RpControlLinks_Report(struct control_links *links, int64_t now,
                            const struct rp_name *name, uint64_t revision);
 
-/* The lowest such revision of the replicas heard from lately, or `own`. */
+/* Returns the minimum of `own` and the revisions that replicas have reported
+ * within the last 5 s. */
 uint64_t RpControlLinks_Lowest(const struct control_links *links, int64_t now,
                                uint64_t own);
 
--- a/programs/daemon/control_editions.c
+++ b/programs/daemon/control_editions.c
@@ -1,28 +1,32 @@
-/* Editions that the operator sends and reads over HTTP.
+/* Serves the operator's configurations over HTTP. An edition is one version of
+ * the whole configuration.
  *
- * The leader answers; every other replica names the leader. An edition is
- * acknowledged once it is committed, a read once a majority has confirmed
- * that this replica still leads. Either has an answer before its deadline. */
+ * The leader answers; every other replica redirects to the leader. A write is
+ * acknowledged once its log entry is committed, a read once a majority has
+ * confirmed that this replica still leads. Each request is answered before its
+ * deadline.
+ */
 #include "control.h"
 #include "rp_clock.h"
 
-/* Callers give a call up after a second and turn to another replica; what
- * is not decided shortly before is answered with "try again". */
-#define ANSWER_US (900 * RP_US_PER_MS)
+/* The operator's client gives up after 1 s and turns to another replica. A
+ * request that is not decided shortly before that is answered with "try
+ * again". */
+#define ANSWER_TIMEOUT_US (900 * RP_US_PER_MS)
 
-/* A call that waits for the log or for a majority. */
-struct call {
+/* A request that waits for its log entry or for a majority. */
+struct pending_request {
     struct rp_platform_request *request;
     uint64_t term;
-    uint64_t index; /* of the proposed edition; 0: it is a read */
-    uint64_t round; /* of a read */
+    uint64_t index; /* log index of a write; 0: this is a read */
+    uint64_t round; /* majority contact that a read waits for; 0: a write */
     int64_t deadline;
 };
 
 struct control_editions {
     struct control *control;
     struct rp_platform *platform;
-    GQueue calls; /* of struct call, oldest first */
+    GQueue pending; /* of struct pending_request, oldest first */
 };
 
 static struct rp_replica *
@@ -37,10 +41,11 @@
     return RpControlReplica_Catalog(editions->control->replica);
 }
 
-/* This replica cannot decide: names the one that can, if there is one. */
+/* Redirects a request that this replica cannot answer to the leader, or
+ * rejects it if no other leader is known. */
 static void
-send_elsewhere(struct control_editions *editions,
-               struct rp_platform_request *request)
+redirect_to_leader(struct control_editions *editions,
+                   struct rp_platform_request *request)
 {
     const struct rp_replica *replica = replica_of(editions);
     const struct rp_replica_member *leader = RpReplica_Leader(replica);
@@ -54,22 +59,22 @@
     RpPlatform_Answer(request, RP_ERR_NO_LEADER, NULL);
 }
 
-static struct call *
-add_call(struct control_editions *editions,
-         struct rp_platform_request *request)
+static struct pending_request *
+add_pending(struct control_editions *editions,
+            struct rp_platform_request *request)
 {
-    struct call *call = g_new0(struct call, 1);
+    struct pending_request *waiting = g_new0(struct pending_request, 1);
 
-    call->request = request;
-    call->term = RpReplica_Term(replica_of(editions));
-    call->deadline = RpClock_Now() + ANSWER_US;
-    g_queue_push_tail(&editions->calls, call);
-    return call;
+    waiting->request = request;
+    waiting->term = RpReplica_Term(replica_of(editions));
+    waiting->deadline = RpClock_Now() + ANSWER_TIMEOUT_US;
+    g_queue_push_tail(&editions->pending, waiting);
+    return waiting;
 }
 
 static void
-on_sent(void *user, const struct rp_edition *edition,
-        struct rp_platform_request *request)
+on_edition_sent(void *user, const struct rp_edition *edition,
+                struct rp_platform_request *request)
 {
     struct control_editions *editions = user;
     struct control *control = editions->control;
@@ -83,7 +88,7 @@
                 edition->version, current ? current->version : 0,
                 edition->vips->len, RpReplica_RoleName(replica_of(editions)));
     if (RpReplica_Role(replica_of(editions)) != RP_REPLICA_LEADER) {
-        send_elsewhere(editions, request);
+        redirect_to_leader(editions, request);
         return;
     }
     if (current && edition->version <= current->version) {
@@ -95,37 +100,37 @@
     enum rp_code code = RpControlReplica_Propose(
         control->replica, RpClock_Now(), command, &index, &term);
     if (code == RP_OK) {
-        add_call(editions, request)->index = index;
+        add_pending(editions, request)->index = index;
         RpControlReplica_CarryOut(control->replica);
     }
     else {
-        send_elsewhere(editions, request);
+        redirect_to_leader(editions, request);
     }
     g_string_free(command, TRUE);
 }
 
 static void
-on_read(void *user, struct rp_platform_request *request)
+on_edition_read(void *user, struct rp_platform_request *request)
 {
     struct control_editions *editions = user;
     struct control *control = editions->control;
     uint64_t round = RpReplica_StartRead(replica_of(editions), RpClock_Now());
 
     if (round == 0) {
-        send_elsewhere(editions, request);
+        redirect_to_leader(editions, request);
         return;
     }
-    add_call(editions, request)->round = round;
+    add_pending(editions, request)->round = round;
     RpControlReplica_CarryOut(control->replica);
     RpControlEditions_Review(editions, RpClock_Now());
 }
 
 static void
-on_unreadable(void *user, const char *what, const struct rp_error *error)
+on_unreadable(void *user, const char *message, const struct rp_error *error)
 {
     struct control_editions *editions = user;
     struct rp_daemon *daemon = &editions->control->daemon;
-    gchar *pairs = g_strdup_printf("what=%s ", what);
+    gchar *pairs = g_strdup_printf("what=%s ", message);
 
     RpCounters_Add(&daemon->counters, RP_COUNT_CHANGE_BAD_DOCUMENT);
     RpDaemon_LogFindings(daemon, RP_LOG_WARN, "edition_refused", pairs, error);
@@ -133,50 +138,53 @@
 }
 
 static void
-answer_read(struct control_editions *editions, const struct call *call)
+answer_read(struct control_editions *editions,
+            const struct pending_request *waiting)
 {
     const struct rp_edition *edition = RpCatalog_Edition(catalog_of(editions));
 
     if (edition) {
-        RpPlatform_AnswerContent(call->request, edition->content);
+        RpPlatform_AnswerContent(waiting->request, edition->content);
     }
     else {
-        RpPlatform_Answer(call->request, RP_ERR_NO_LEADER, NULL);
+        RpPlatform_Answer(waiting->request, RP_ERR_NO_LEADER, NULL);
     }
 }
 
-/* Answers a call if it can be answered now. */
+/* Answers a request if it can be answered now or has failed. Returns whether
+ * it was answered. */
 static bool
-settle(struct control_editions *editions, const struct call *call, int64_t now)
+answer_if_decided(struct control_editions *editions,
+                  const struct pending_request *waiting, int64_t now)
 {
     const struct rp_replica *replica = replica_of(editions);
 
-    if (call->round &&
-        RpReplica_ReadIsSafe(replica, call->term, call->round)) {
-        answer_read(editions, call);
+    if (waiting->round &&
+        RpReplica_ReadIsSafe(replica, waiting->term, waiting->round)) {
+        answer_read(editions, waiting);
         return true;
     }
-    if (now < call->deadline && RpReplica_Term(replica) == call->term &&
+    if (now < waiting->deadline && RpReplica_Term(replica) == waiting->term &&
         RpReplica_Role(replica) == RP_REPLICA_LEADER) {
         return false;
     }
-    /* Not known to have failed: the operator sends it again. */
+    /* Whether the request failed is not known, so the operator repeats it. */
     RpCounters_Add(&editions->control->daemon.counters,
                    RP_COUNT_CHANGE_TIMEOUT);
-    RpPlatform_Answer(call->request, RP_ERR_TIMEOUT, NULL);
+    RpPlatform_Answer(waiting->request, RP_ERR_TIMEOUT, NULL);
     return true;
 }
 
 void
 RpControlEditions_Review(struct control_editions *editions, int64_t now)
 {
-    GList *link = editions->calls.head;
+    GList *link = editions->pending.head;
 
     while (link) {
         GList *next = link->next;
-        if (settle(editions, link->data, now)) {
+        if (answer_if_decided(editions, link->data, now)) {
             g_free(link->data);
-            g_queue_delete_link(&editions->calls, link);
+            g_queue_delete_link(&editions->pending, link);
         }
         link = next;
     }
@@ -187,20 +195,20 @@
                           const struct rp_log_entry *entry,
                           const struct rp_msg_change_reply *reply)
 {
-    for (GList *link = editions->calls.head; link; link = link->next) {
-        struct call *call = link->data;
-        if (call->index != entry->index) {
+    for (GList *link = editions->pending.head; link; link = link->next) {
+        struct pending_request *waiting = link->data;
+        if (waiting->index != entry->index) {
             continue;
         }
-        RpCounters_Time(&editions->control->daemon.counters,
-                        RP_HISTOGRAM_CHANGE_DECIDED,
-                        RpClock_Now() - (call->deadline - ANSWER_US));
-        enum rp_code code = call->term == entry->term
+        RpCounters_Time(
+            &editions->control->daemon.counters, RP_HISTOGRAM_CHANGE_DECIDED,
+            RpClock_Now() - (waiting->deadline - ANSWER_TIMEOUT_US));
+        enum rp_code code = waiting->term == entry->term
                                 ? (enum rp_code)reply->code
                                 : RP_ERR_TIMEOUT;
-        RpPlatform_Answer(call->request, code, NULL);
-        g_queue_delete_link(&editions->calls, link);
-        g_free(call);
+        RpPlatform_Answer(waiting->request, code, NULL);
+        g_queue_delete_link(&editions->pending, link);
+        g_free(waiting);
         return;
     }
 }
@@ -208,13 +216,13 @@
 struct control_editions *
 RpControlEditions_Open(struct control *control, struct rp_error *error)
 {
-    static const struct rp_platform_ops ops = {.edition_sent = on_sent,
-                                               .edition_read = on_read,
+    static const struct rp_platform_ops ops = {.edition_sent = on_edition_sent,
+                                               .edition_read = on_edition_read,
                                                .unreadable = on_unreadable};
     struct control_editions *editions = g_new0(struct control_editions, 1);
 
     editions->control = control;
-    g_queue_init(&editions->calls);
+    g_queue_init(&editions->pending);
     editions->platform = RpPlatform_Open(control->settings.operator_http, &ops,
                                          editions, error);
     if (!editions->platform) {
@@ -229,7 +237,7 @@
 {
     if (editions) {
         RpPlatform_Close(editions->platform);
-        g_queue_clear_full(&editions->calls, g_free);
+        g_queue_clear_full(&editions->pending, g_free);
         g_free(editions);
     }
 }
--- a/programs/daemon/control_links.c
+++ b/programs/daemon/control_links.c
@@ -1,32 +1,37 @@
-/* Connections from this replica to the others. Each replica opens one to
- * every other; what the others send comes in over theirs. */
+/* Connections from this replica to the others.
+ *
+ * Each replica opens a connection to every other one and only sends on it; it
+ * receives on the connections that the others open.
+ */
 #include "control.h"
 #include "rp_clock.h"
 
-/* Pause after a failed or ended connection to a replica; an election after a
- * loss of power waits for it. */
-#define RETRY_US (100 * RP_US_PER_MS)
-/* An attempt that is older when its peer calls has met a machine that had no
- * power yet: the answer to a first packet takes 30 ms between the nearer
- * regions. */
-#define STUCK_US (50 * RP_US_PER_MS)
-#define JOIN_US (1 * RP_US_PER_SECOND)
-/* A replica that has not reported for so long does not count as reachable. */
-#define REPORT_KEEP_US (5 * RP_US_PER_SECOND)
-
-/* One other replica, known by where it listens. */
+/* Pause before reconnecting to a replica. After a power loss the election
+ * waits for this connection. */
+#define RETRY_PAUSE_US (100 * RP_US_PER_MS)
+/* An attempt to connect that is older than this when its peer connects to us
+ * was sent to a machine that was still without power: the first reply from a
+ * running machine takes 30 ms between the nearer regions. */
+#define STALE_ATTEMPT_US (50 * RP_US_PER_MS)
+#define JOIN_INTERVAL_US (1 * RP_US_PER_SECOND)
+/* Reported revisions older than this are ignored: their replica counts as
+ * unreachable. */
+#define REPORT_TTL_US (5 * RP_US_PER_SECOND)
+
+/* One other replica, identified by the address it listens on. */
 struct link {
     struct control_links *links;
     struct rp_endpoint address;
-    struct rp_name name; /* what the other side says it is */
+    struct rp_name name; /* from the peer's hello */
     struct rp_conn *conn;
     bool ready;
-    bool peer_is_up; /* it has called us while we were trying */
-    int64_t opened;  /* when the attempt began */
+    bool retry_now; /* the peer connected to us during the attempt: retry
+                     * without a pause */
+    int64_t attempt_started;
     int64_t retry_deadline;
 };
 
-/* What a replica last said of its nodes. */
+/* The lowest revision that all nodes of a replica have confirmed. */
 struct report {
     uint64_t revision;
     int64_t keep_until;
@@ -36,8 +41,8 @@
     struct control *control;
     GPtrArray *list;     /* of struct link */
     GHashTable *reports; /* replica name -> struct report */
-    GHashTable *names;   /* replica id -> its name, as heard from it */
-    int64_t join_deadline;
+    GHashTable *names;   /* replica id -> instance name, from its messages */
+    int64_t next_join;
 };
 
 struct control_links *
@@ -54,9 +59,10 @@
     return links;
 }
 
-/* Tells a replica that was not there before of all upstreams heard here. */
+/* Sends a newly connected replica the announcements of all upstreams whose
+ * agents are connected here. */
 static void
-send_upstreams(const struct control *control, struct rp_conn *conn)
+send_local_upstreams(const struct control *control, struct rp_conn *conn)
 {
     GPtrArray *list = RpRegistry_List(control->registry, NULL);
 
@@ -81,9 +87,9 @@
         .port = control->settings.listen.port};
 }
 
-/* Whether the log knows this replica under the address it has now. */
+/* Returns whether the log lists this replica with its current address. */
 static bool
-is_listed(const struct control *control)
+is_listed_at_current_address(const struct control *control)
 {
     struct rp_replica *replica = RpControlReplica_Replica(control->replica);
     const GArray *members = RpReplica_Members(replica);
@@ -99,13 +105,14 @@
     return false;
 }
 
-/* Whether this replica should ask to be let in, at its present address. */
+/* Returns whether to ask for membership, or for the update of a changed
+ * address. */
 static bool
-wants_to_join(const struct control *control, int64_t now)
+should_ask_to_join(const struct control *control, int64_t now)
 {
     return RpReplica_WantsToJoin(RpControlReplica_Replica(control->replica),
                                  now) ||
-           !is_listed(control);
+           !is_listed_at_current_address(control);
 }
 
 static void
@@ -116,13 +123,15 @@
 
     link->ready = true;
     link->name = hello->name;
-    if (wants_to_join(control, RpClock_Now())) {
-        /* At once: others may wait to hear that a disk was lost. */
+    if (should_ask_to_join(control, RpClock_Now())) {
+        /* Sent at once: after a restart of the whole system the election waits
+         * until this request shows that the replica previously at this address
+         * has lost its disk. */
         const struct rp_msg msg = {
             .type = RP_MSG_JOIN, .join = {.member = self_as_member(control)}};
         RpConn_Send(conn, &msg);
     }
-    send_upstreams(control, conn);
+    send_local_upstreams(control, conn);
     RpLog_Event(control->daemon.log, RP_LOG_INFO, "replica_connected",
                 "peer=%s", hello->name.data);
 }
@@ -132,7 +141,8 @@
 {
     const struct link *link = user;
 
-    /* The other side answers over its own connection. */
+    /* Replies arrive on the connection that the peer opens, so any message
+     * here is an error. */
     (void)msg;
     RpCounters_Add(&link->links->control->daemon.counters,
                    RP_COUNT_FRAME_UNEXPECTED);
@@ -148,10 +158,10 @@
     link->conn = NULL;
     link->ready = false;
     link->retry_deadline = RpClock_Now();
-    if (!link->peer_is_up) {
-        link->retry_deadline += RETRY_US;
+    if (!link->retry_now) {
+        link->retry_deadline += RETRY_PAUSE_US;
     }
-    link->peer_is_up = false;
+    link->retry_now = false;
 }
 
 void
@@ -163,8 +173,8 @@
         if (link->address.ip != ip || link->ready) {
             continue;
         }
-        if (link->conn && now - link->opened > STUCK_US) {
-            link->peer_is_up = true;
+        if (link->conn && now - link->attempt_started > STALE_ATTEMPT_US) {
+            link->retry_now = true;
             RpConn_Close(link->conn);
         }
         link->retry_deadline = now;
@@ -172,7 +182,7 @@
 }
 
 static void
-connect_link(struct link *link, int64_t now)
+connect_if_due(struct link *link, int64_t now)
 {
     static const struct rp_conn_ops ops = {
         .ready = on_ready, .message = on_message, .closed = on_closed};
@@ -181,7 +191,7 @@
         link->conn = RpConn_Open(&link->links->control->daemon.context,
                                  link->address, RP_CONN_CONNECT_US, &ops,
                                  link);
-        link->opened = now;
+        link->attempt_started = now;
     }
 }
 
@@ -210,9 +220,9 @@
     g_ptr_array_add(links->list, link);
 }
 
-/* Replicas come from the settings and from the log. */
+/* Adds a link for each address in the settings and each member in the log. */
 static void
-update_list(struct control_links *links)
+add_known_replicas(struct control_links *links)
 {
     const struct control *control = links->control;
     const GArray *members = RpReplica_Members(
@@ -234,23 +244,23 @@
 {
     struct control *control = links->control;
 
-    if (now < links->join_deadline || !wants_to_join(control, now)) {
+    if (now < links->next_join || !should_ask_to_join(control, now)) {
         return;
     }
-    links->join_deadline = now + JOIN_US;
+    links->next_join = now + JOIN_INTERVAL_US;
     const struct rp_msg msg = {.type = RP_MSG_JOIN,
                                .join = {.member = self_as_member(control)}};
     RpControlLinks_SendAll(links, &msg);
-    /* A leader whose own address changed lets itself know. */
+    /* A leader whose own address has changed must process its own request. */
     RpControlReplica_Join(control->replica, now, &msg.join.member, true);
 }
 
 void
 RpControlLinks_Tick(struct control_links *links, int64_t now)
 {
-    update_list(links);
+    add_known_replicas(links);
     for (guint i = 0; i < links->list->len; i++) {
-        connect_link(g_ptr_array_index(links->list, i), now);
+        connect_if_due(g_ptr_array_index(links->list, i), now);
     }
     ask_to_join(links, now);
 }
@@ -263,10 +273,11 @@
                          g_memdup2(name, sizeof *name));
 }
 
-/* The link to a replica: by its address if the log has it, else by the name
- * under which it was heard. A replica that is just joining has no log. */
+/* Finds the link to a replica: by the address that the log has for its id, or
+ * else by the name in its messages. A replica that is just joining has no log
+ * yet. */
 static const struct link *
-link_to(const struct control_links *links, uint64_t id)
+find_link_by_id(const struct control_links *links, uint64_t id)
 {
     const GArray *members = RpReplica_Members(
         RpControlReplica_Replica(links->control->replica));
@@ -294,7 +305,7 @@
 RpControlLinks_Send(struct control_links *links, uint64_t to,
                     const struct rp_msg *msg)
 {
-    const struct link *link = link_to(links, to);
+    const struct link *link = find_link_by_id(links, to);
 
     if (link && link->ready) {
         RpConn_Send(link->conn, msg);
@@ -319,7 +330,7 @@
     struct report *report = g_new0(struct report, 1);
 
     report->revision = revision;
-    report->keep_until = now + REPORT_KEEP_US;
+    report->keep_until = now + REPORT_TTL_US;
     g_hash_table_replace(links->reports, g_strdup(name->data), report);
 }
 
--- a/programs/daemon/control_nodes.c
+++ b/programs/daemon/control_nodes.c
@@ -1,4 +1,5 @@
-/* What connects to a control instance: nodes, operators, other replicas. */
+/* Accepts connections to a control instance and handles the messages of nodes,
+ * operators and other replicas. */
 #include "control.h"
 #include "rp_status.h"
 #include "rp_clock.h"
@@ -6,14 +7,14 @@
 #define MAX_CONNECTIONS 30000
 #define LISTEN_BACKLOG 1024
 
-/* One connection and who is at its other end. */
+/* One accepted connection and the hello of its peer. */
 struct client {
     struct control *control;
     struct rp_conn *conn;
     struct rp_msg_hello hello;
 };
 
-/* A change that was proposed and is not decided yet. */
+/* A proposed change whose log entry is not applied yet. */
 struct pending_change {
     uint64_t term;
     uint64_t connection;
@@ -65,7 +66,7 @@
 }
 
 static enum rp_counter
-counter_for(const struct rp_msg_change_reply *reply)
+find_reply_counter(const struct rp_msg_change_reply *reply)
 {
     if (reply->repeated) {
         return RP_COUNT_CHANGE_REPEATED;
@@ -82,13 +83,14 @@
     }
 }
 
-/* Hands an applied change to the nodes. */
+/* Logs an applied change and passes its service on to the nodes' tables. */
 static void
-publish(struct control *control, const struct rp_msg_change_reply *reply)
+publish_change(struct control *control,
+               const struct rp_msg_change_reply *reply)
 {
     int64_t now = RpClock_Now();
 
-    RpCounters_Add(&control->daemon.counters, counter_for(reply));
+    RpCounters_Add(&control->daemon.counters, find_reply_counter(reply));
     RpLog_Event(control->daemon.log, RP_LOG_INFO, "change_decided",
                 "service=%s result=%s revision=%" G_GUINT64_FORMAT
                 " repeated=%d",
@@ -108,14 +110,15 @@
     }
 }
 
-/* An edition has been decided. */
+/* Logs an applied edition, updates the tables if it is new, and answers its
+ * HTTP request. */
 static void
 publish_edition(struct control *control, const struct rp_log_entry *entry,
                 const struct rp_msg_change_reply *reply)
 {
     const struct rp_edition *edition = RpCatalog_Edition(catalog_of(control));
 
-    RpCounters_Add(&control->daemon.counters, counter_for(reply));
+    RpCounters_Add(&control->daemon.counters, find_reply_counter(reply));
     RpLog_Event(control->daemon.log, RP_LOG_INFO, "edition_decided",
                 "result=%s version=%" G_GUINT64_FORMAT
                 " revision=%" G_GUINT64_FORMAT " repeated=%d",
@@ -141,7 +144,7 @@
         control->pending, &entry->index);
 
     if (reply->is_change) {
-        publish(control, reply);
+        publish_change(control, reply);
     }
     if (reply->is_edition) {
         publish_edition(control, entry, reply);
@@ -157,8 +160,9 @@
         RpConn_Send(client->conn, &msg);
     }
     else if (client) {
-        /* Another leader's entry took its place: not known to have failed,
-         * so the operator asks again under the same id. */
+        /* The entry of another leader took this index. Whether the change
+         * failed is not known, so the connection is closed and the operator
+         * repeats the change under the same id. */
         RpCounters_Add(&control->daemon.counters, RP_COUNT_CHANGE_TIMEOUT);
         RpConn_Close(client->conn);
     }
@@ -239,8 +243,9 @@
     return change;
 }
 
-/* An agent's announcement. One that is older than what is known of its
- * upstream is answered with that, so that the agent can say more. */
+/* Handles an agent's announcement. If a later incarnation of the upstream is
+ * known, sends that announcement back, so that the agent can raise its
+ * incarnation. */
 static void
 on_announce(struct control *control, const struct client *client,
             const struct rp_msg_announce *announce)
@@ -257,9 +262,9 @@
     }
 }
 
-/* The replicas' addresses as nodes are told them. */
+/* Builds the message that tells nodes the replicas' addresses. */
 static void
-fill_controls(const struct control *control, struct rp_msg *msg)
+build_controls_msg(const struct control *control, struct rp_msg *msg)
 {
     const GArray *members = RpReplica_Members(replica_of(control));
 
@@ -292,7 +297,7 @@
     control->told_members = digest;
     GArray *list = RpDistribution_Connections(control->distribution);
     struct rp_msg msg;
-    fill_controls(control, &msg);
+    build_controls_msg(control, &msg);
     for (guint i = 0; i < list->len; i++) {
         const struct client *client = find_client(
             control, g_array_index(list, uint64_t, i));
@@ -320,13 +325,13 @@
     RpDistribution_Subscribe(control->distribution, RpClock_Now(),
                              RpConn_Number(client->conn), &client->hello,
                              subscribe);
-    fill_controls(control, &msg);
+    build_controls_msg(control, &msg);
     RpConn_Send(client->conn, &msg);
     RpMsg_Clear(&msg);
 }
 
 static GArray *
-list_replicas(const struct control *control)
+list_this_replica(const struct control *control)
 {
     GArray *rows = RpSchema_NewList(&rp_msg_replica_info_schema);
     const struct rp_replica *replica = replica_of(control);
@@ -340,11 +345,11 @@
     return rows;
 }
 
-/* A document is the base of the next change, so only a leader that is sure
- * to be one may hand it out. */
+/* Only a leader with a valid lease returns a document: the operator bases the
+ * next change on it, so it must be current. */
 static void
-answer_document(const struct control *control, const struct rp_name *service,
-                struct rp_msg *msg)
+build_document_reply(const struct control *control,
+                     const struct rp_name *service, struct rp_msg *msg)
 {
     const struct rp_replica *replica = replica_of(control);
 
@@ -366,20 +371,21 @@
         RpStatus_Services(catalog_of(control), control->registry, &msg);
         break;
     case RP_QUERY_DOCUMENT:
-        answer_document(control, &query->service, &msg);
+        build_document_reply(control, &query->service, &msg);
         break;
     default:
         RpStatus_Status(catalog_of(control), control->registry,
                         control->distribution, RpClock_Now(), &query->service,
                         &msg);
         g_array_free(msg.status.replicas, TRUE);
-        msg.status.replicas = list_replicas(control);
+        msg.status.replicas = list_this_replica(control);
     }
     RpConn_Send(client->conn, &msg);
     RpMsg_Clear(&msg);
 }
 
-/* Passes an order on to the agent, if it is connected here. */
+/* Forwards an operator's order to the agent of its upstream, if that agent is
+ * connected here. */
 static void
 on_order(struct control *control, const struct client *operator_client,
          const struct rp_msg *order)
@@ -405,9 +411,9 @@
     RpConn_Send(operator_client->conn, &reply);
 }
 
-/* Whether a peer of this role may send this message. */
+/* Returns whether a peer of this role may send messages of this type. */
 static bool
-is_allowed(uint8_t role, enum rp_msg_type type)
+may_role_send(uint8_t role, enum rp_msg_type type)
 {
     switch (type) {
     case RP_MSG_CHANGE:
@@ -454,8 +460,8 @@
 }
 
 static void
-dispatch(struct control *control, struct client *client,
-         const struct rp_msg *msg)
+handle_message(struct control *control, struct client *client,
+               const struct rp_msg *msg)
 {
     int64_t now = RpClock_Now();
 
@@ -504,7 +510,7 @@
     struct client *client = user;
     struct control *control = client->control;
 
-    if (!is_allowed(client->hello.role, msg->type)) {
+    if (!may_role_send(client->hello.role, msg->type)) {
         RpCounters_Add(&control->daemon.counters, RP_COUNT_FRAME_UNEXPECTED);
         RpLog_Event(control->daemon.log, RP_LOG_WARN, "message_refused",
                     "peer=%s role=%s type=%s", client->hello.name.data,
@@ -513,7 +519,7 @@
         RpConn_Close(conn);
         return;
     }
-    dispatch(control, client, msg);
+    handle_message(control, client, msg);
 }
 
 static void
@@ -578,11 +584,11 @@
     control->listener = g_socket_service_new();
     g_socket_listener_set_backlog(G_SOCKET_LISTENER(control->listener),
                                   LISTEN_BACKLOG);
-    gboolean good = g_socket_listener_add_address(
+    gboolean added = g_socket_listener_add_address(
         G_SOCKET_LISTENER(control->listener), address, G_SOCKET_TYPE_STREAM,
         G_SOCKET_PROTOCOL_TCP, NULL, NULL, &failure);
     g_object_unref(address);
-    if (!good) {
+    if (!added) {
         fprintf(stderr, "--listen: %s\n", failure->message);
         g_error_free(failure);
         return false;
--- a/programs/daemon/control_relay.c
+++ b/programs/daemon/control_relay.c
@@ -1,6 +1,9 @@
-/* A control instance without a disk. It keeps nothing, so it has no vote and
- * hands out no tables; it knows where the replicas are and names one of them
- * to whoever calls it. */
+/* A control instance without a disk.
+ *
+ * It stores nothing, so it does not vote and sends no tables. It connects to
+ * the replicas as a node does, learns their addresses, and redirects each HTTP
+ * request of the operator to one of them.
+ */
 #include "control.h"
 #include "rp_uplink.h"
 
@@ -9,11 +12,11 @@
     struct rp_daemon daemon;
     struct rp_uplink *uplink;
     struct rp_platform *platform;
-    size_t next; /* replica to name next */
+    size_t next; /* index of the replica to redirect to next */
 };
 
 static void
-answer(struct relay *relay, struct rp_platform_request *request)
+redirect(struct relay *relay, struct rp_platform_request *request)
 {
     const struct rp_endpoints *controls = RpUplink_Controls(relay->uplink);
 
@@ -27,24 +30,24 @@
 }
 
 static void
-on_sent(void *user, const struct rp_edition *edition,
-        struct rp_platform_request *request)
+on_edition_sent(void *user, const struct rp_edition *edition,
+                struct rp_platform_request *request)
 {
     (void)edition;
-    answer(user, request);
+    redirect(user, request);
 }
 
 static void
-on_read(void *user, struct rp_platform_request *request)
+on_edition_read(void *user, struct rp_platform_request *request)
 {
-    answer(user, request);
+    redirect(user, request);
 }
 
 static void
-on_unreadable(void *user, const char *what, const struct rp_error *error)
+on_unreadable(void *user, const char *message, const struct rp_error *error)
 {
     struct relay *relay = user;
-    gchar *pairs = g_strdup_printf("what=%s ", what);
+    gchar *pairs = g_strdup_printf("what=%s ", message);
 
     RpCounters_Add(&relay->daemon.counters, RP_COUNT_CHANGE_BAD_DOCUMENT);
     RpDaemon_LogFindings(&relay->daemon, RP_LOG_WARN, "edition_refused", pairs,
@@ -53,7 +56,7 @@
 }
 
 static void
-on_uplink_event(void *user)
+ignore_uplink_event(void *user)
 {
     (void)user;
 }
@@ -62,10 +65,11 @@
 is_healthy(void *user, GString *why)
 {
     const struct relay *relay = user;
-    bool good = RpUplink_IsConnected(relay->uplink);
+    bool connected = RpUplink_IsConnected(relay->uplink);
 
-    g_string_append(why, good ? "ok, without a disk" : "no replica found");
-    return good;
+    g_string_append(why, connected ? "ok, without a disk"
+                                   : "not connected to any replica");
+    return connected;
 }
 
 static void
@@ -89,17 +93,18 @@
 on_reload(void *user, const void *settings)
 {
     struct relay *relay = user;
-    struct control_settings fresh = *(const struct control_settings *)settings;
+    struct control_settings updated = *(
+        const struct control_settings *)settings;
 
-    RpDaemon_SetPorts(&fresh.peers, fresh.control_port);
-    RpUplink_SetControls(relay->uplink, &fresh.peers);
+    RpDaemon_SetPorts(&updated.peers, updated.control_port);
+    RpUplink_SetControls(relay->uplink, &updated.peers);
 }
 
 static bool
 open_platform(struct relay *relay)
 {
-    static const struct rp_platform_ops ops = {.edition_sent = on_sent,
-                                               .edition_read = on_read,
+    static const struct rp_platform_ops ops = {.edition_sent = on_edition_sent,
+                                               .edition_read = on_edition_read,
                                                .unreadable = on_unreadable};
     struct rp_error error;
 
@@ -119,7 +124,8 @@
                    const struct rp_settings_source *source)
 {
     static const struct rp_uplink_ops uplink_ops = {
-        .connected = on_uplink_event, .table_changed = on_uplink_event};
+        .connected = ignore_uplink_event,
+        .table_changed = ignore_uplink_event};
     static const struct rp_admin_ops admin_ops = {.healthy = is_healthy,
                                                   .gauges = write_gauges};
     static struct relay relay;
@@ -128,11 +134,11 @@
     gchar *name = g_strdup_printf("%s-relay", common.name.data);
 
     relay.settings = settings;
-    /* Nodes are known by their names, and a balancer on the same instance
-     * has this one already. */
+    /* Nodes are identified by their names, and a balancer on the same machine
+     * may already use this instance's name. */
     RpName_Set(&common.name, RpStr_FromC(name));
     g_free(name);
-    /* No service has this name: tables for it are empty. */
+    /* No service can have this name, so the tables that arrive are empty. */
     RpName_Set(&no_service, RP_STR("-"));
     if (!RpDaemon_Start(&relay.daemon, RP_ROLE_BALANCER, &common, on_stop,
                         &relay)) {
--- a/programs/daemon/control_replica.c
+++ b/programs/daemon/control_replica.c
@@ -1,3 +1,5 @@
+/* The storage side of a replica: journal records, syncs, snapshots and
+ * recovery from disk errors. */
 #include "control_replica.h"
 
 #include <sodium.h>
@@ -7,38 +9,40 @@
 #include "rp_clock.h"
 #include "rp_journal.h"
 
-/* Growth of the journal, in bytes, that asks for a snapshot. */
-#define COMPACT_BYTES (4u << 20)
+/* Growth of the journal, in bytes, after which it is compacted. */
+#define COMPACT_GROWTH_BYTES (4u << 20)
 #define VOTE_SIZE 16
 #define NUMBER_SIZE 8
 
 enum record_kind {
     RECORD_IDENTITY = 1, /* the replica's id */
-    RECORD_VOTE,         /* term, voted for */
+    RECORD_VOTE,         /* term and id that got the vote */
     RECORD_ENTRY,        /* struct rp_log_entry */
-    RECORD_TRUNCATE,     /* index */
+    RECORD_TRUNCATE,     /* index from which on entries are dropped */
     RECORD_SNAPSHOT      /* struct rp_snapshot */
 };
 
 struct rp_control_replica {
     const struct rp_control_replica_ops *ops;
     void *user;
-    struct rp_counters *counters; /* NULL: nobody counts */
+    struct rp_counters *counters; /* NULL: durations are not recorded */
     char *folder;
-    struct rp_journal *journal; /* NULL while the disk does not work */
+    struct rp_journal *journal; /* NULL if reopening it failed */
     struct rp_replica *replica;
     struct rp_catalog *catalog;
     uint64_t id;
-    uint64_t compact_at;
-    int64_t opened;
-    bool unsynced;
-    bool failed;
-    int64_t retry_deadline; /* after a failure */
-    bool busy; /* carrying out actions: events wait for their end */
+    uint64_t compact_at; /* size of the journal, in bytes */
+    int64_t opened_at;
+    bool unsynced; /* records were written after the last sync */
+    bool failed;   /* the disk failed: no part until the journal is reopened */
+    int64_t retry_deadline; /* when to reopen a failed journal */
+    /* run_actions is under way: a nested call returns at once, and the outer
+     * call runs the actions that it left. */
+    bool running_actions;
 };
 
 static struct rp_str
-view(const GString *text)
+as_str(const GString *text)
 {
     return (struct rp_str){.data = text->str, .len = text->len};
 }
@@ -53,7 +57,7 @@
     }
     self->id = RpBytes_Get64((const uint8_t *)payload.data);
     randombytes_buf(&seed, sizeof seed);
-    self->replica = RpReplica_Create(self->id, seed, self->opened);
+    self->replica = RpReplica_Create(self->id, seed, self->opened_at);
     return RP_OK;
 }
 
@@ -92,13 +96,14 @@
         return RP_ERR_FORMAT;
     }
     RpReplica_LoadSnapshot(self->replica, &snapshot);
-    enum rp_code code = RpCatalog_Restore(self->catalog, view(snapshot.data));
+    enum rp_code code = RpCatalog_Restore(self->catalog,
+                                          as_str(snapshot.data));
     RpSchema_Clear(&rp_snapshot_schema, &snapshot);
     return code;
 }
 
 static enum rp_code
-load(struct rp_control_replica *self, const struct rp_record *record)
+load_record(struct rp_control_replica *self, const struct rp_record *record)
 {
     if (record->kind != RECORD_IDENTITY && !self->replica) {
         return RP_ERR_FORMAT;
@@ -125,11 +130,11 @@
 }
 
 static enum rp_code
-visit(void *user, const struct rp_record *record, struct rp_error *error)
+on_record(void *user, const struct rp_record *record, struct rp_error *error)
 {
-    if (load(user, record) != RP_OK) {
+    if (load_record(user, record) != RP_OK) {
         return RpError_Add(error, RP_ERR_CORRUPT, "journal",
-                           "holds a record that cannot be read");
+                           "contains a record that cannot be decoded");
     }
     return RP_OK;
 }
@@ -146,22 +151,20 @@
 }
 
 static void
-fail(struct rp_control_replica *self, struct rp_error *error)
+enter_failed_state(struct rp_control_replica *self, struct rp_error *error)
 {
     self->failed = true;
     self->retry_deadline = RpClock_Now() + RP_STORAGE_RETRY_US;
     self->ops->failed(self->user, error);
 }
 
-static enum rp_code visit(void *user, const struct rp_record *record,
-                          struct rp_error *error);
-
-/* Starts over from what the disk holds, as a new process would: after a
- * failed sync nobody knows what else was kept. */
+/* Discards all state in memory and reads the journal again, as a restart of
+ * the process does: after a failed sync it is unknown which records reached
+ * the disk. */
 static void
-reopen(struct rp_control_replica *self, int64_t now)
+reopen_journal(struct rp_control_replica *self, int64_t now)
 {
-    const struct rp_journal_reader reader = {.visit = visit, .user = self};
+    const struct rp_journal_reader reader = {.visit = on_record, .user = self};
     uint64_t id = self->id;
     struct rp_error error;
     uint64_t seed;
@@ -171,12 +174,14 @@
     RpReplica_Free(self->replica);
     self->replica = NULL;
     RpCatalog_Reset(self->catalog);
-    self->opened = now;
+    self->opened_at = now;
     self->unsynced = false;
     self->journal = RpJournal_Open(self->folder, &reader, &error);
     self->failed = !self->journal;
     if (!self->replica) {
-        /* Not even its identity could be read: it stays silent. */
+        /* The journal could not be read, not even the replica's id. An empty
+         * replica with the previous id stands in, and `failed` keeps it from
+         * sending anything. */
         randombytes_buf(&seed, sizeof seed);
         self->replica = RpReplica_Create(id, seed, now);
         self->failed = true;
@@ -185,39 +190,41 @@
         self->retry_deadline = now + RP_STORAGE_RETRY_US;
     }
     else {
-        self->compact_at = RpJournal_Size(self->journal) + COMPACT_BYTES;
+        self->compact_at = RpJournal_Size(self->journal) +
+                           COMPACT_GROWTH_BYTES;
     }
     self->ops->restored(self->user);
     RpError_Clear(&error);
 }
 
-/* Makes durable what was stored; false if that failed. */
+/* Syncs the journal if records were written after the last sync. Returns false
+ * if the sync failed. */
 static bool
-sync_now(struct rp_control_replica *self)
+sync_journal(struct rp_control_replica *self)
 {
     struct rp_error error;
-    bool good = true;
+    bool synced = true;
 
     if (!self->unsynced) {
         return true;
     }
-    int64_t begun = RpClock_Now();
+    int64_t started = RpClock_Now();
     RpError_Init(&error);
     if (RpJournal_Sync(self->journal, &error) != RP_OK) {
-        fail(self, &error);
-        good = false;
+        enter_failed_state(self, &error);
+        synced = false;
     }
     if (self->counters) {
         RpCounters_Time(self->counters, RP_HISTOGRAM_DISK_SYNC,
-                        RpClock_Now() - begun);
+                        RpClock_Now() - started);
     }
     RpError_Clear(&error);
     self->unsynced = false;
-    return good;
+    return synced;
 }
 
-/* A new folder gets an id of its own: whoever lost its disk is another
- * replica from then on. */
+/* Gives a new folder an id (a random one if `id` is 0). A replica that lost
+ * its disk thus returns under a new id, as a different replica. */
 static bool
 create_identity(struct rp_control_replica *self, uint64_t id,
                 struct rp_error *error)
@@ -244,17 +251,17 @@
 
     self->ops = ops;
     self->user = user;
-    self->opened = now;
+    self->opened_at = now;
     self->folder = g_strdup(folder);
     self->catalog = RpCatalog_Create();
-    const struct rp_journal_reader reader = {.visit = visit, .user = self};
+    const struct rp_journal_reader reader = {.visit = on_record, .user = self};
     self->journal = RpJournal_Open(folder, &reader, error);
     if (!self->journal ||
         (!self->replica && !create_identity(self, first_id, error))) {
         RpControlReplica_Close(self);
         return NULL;
     }
-    self->compact_at = RpJournal_Size(self->journal) + COMPACT_BYTES;
+    self->compact_at = RpJournal_Size(self->journal) + COMPACT_GROWTH_BYTES;
     return self;
 }
 
@@ -277,9 +284,10 @@
     }
 }
 
-/* Writes the journal anew: identity, vote, snapshot, entries behind it. */
+/* Replaces the journal by the id, the vote, the snapshot and the entries after
+ * it. */
 static void
-rewrite(struct rp_control_replica *self)
+rewrite_journal(struct rp_control_replica *self)
 {
     size_t entries = RpReplica_EntryCount(self->replica);
     const struct rp_snapshot *snapshot = RpReplica_Snapshot(self->replica);
@@ -302,7 +310,7 @@
         g_ptr_array_add(texts, RpSchema_Encode(&rp_snapshot_schema, snapshot));
         record = (struct rp_record){
             .kind = RECORD_SNAPSHOT,
-            .payload = view(g_ptr_array_index(texts, 0))};
+            .payload = as_str(g_ptr_array_index(texts, 0))};
         g_array_append_val(records, record);
     }
     for (size_t i = 0; i < entries; i++) {
@@ -310,18 +318,18 @@
                                         RpReplica_Entry(self->replica, i));
         g_ptr_array_add(texts, text);
         record = (struct rp_record){.kind = RECORD_ENTRY,
-                                    .payload = view(text)};
+                                    .payload = as_str(text)};
         g_array_append_val(records, record);
     }
     RpError_Init(&error);
     if (RpJournal_Rewrite(self->journal,
                           (const struct rp_record *)records->data,
                           records->len, &error) != RP_OK) {
-        fail(self, &error);
+        enter_failed_state(self, &error);
     }
     RpError_Clear(&error);
     self->unsynced = false;
-    self->compact_at = RpJournal_Size(self->journal) + COMPACT_BYTES;
+    self->compact_at = RpJournal_Size(self->journal) + COMPACT_GROWTH_BYTES;
     for (guint i = 0; i < texts->len; i++) {
         g_string_free(g_ptr_array_index(texts, i), TRUE);
     }
@@ -356,25 +364,25 @@
 {
     GString *text = RpSchema_Encode(&rp_log_entry_schema, entry);
 
-    append_record(self, RECORD_ENTRY, view(text));
+    append_record(self, RECORD_ENTRY, as_str(text));
     g_string_free(text, TRUE);
 }
 
 static void
-apply(struct rp_control_replica *self, const struct rp_log_entry *entry)
+apply_entry(struct rp_control_replica *self, const struct rp_log_entry *entry)
 {
     struct rp_msg_change_reply reply = {0};
 
     if (entry->kind == RP_ENTRY_COMMAND) {
-        RpCatalog_Apply(self->catalog, view(entry->data), &reply);
+        RpCatalog_Apply(self->catalog, as_str(entry->data), &reply);
     }
     self->ops->applied(self->user, entry, &reply);
     RpSchema_Clear(&rp_msg_change_reply_schema, &reply);
 }
 
 static void
-carry_out_one(struct rp_control_replica *self,
-              const struct rp_replica_action *action)
+run_action(struct rp_control_replica *self,
+           const struct rp_replica_action *action)
 {
     switch (action->kind) {
     case RP_REPLICA_STORE_VOTE:
@@ -387,20 +395,20 @@
         store_truncate(self, action->index);
         break;
     case RP_REPLICA_STORE_SNAPSHOT:
-        rewrite(self);
-        if (RpCatalog_Restore(self->catalog, view(action->snapshot->data)) ==
+        rewrite_journal(self);
+        if (RpCatalog_Restore(self->catalog, as_str(action->snapshot->data)) ==
             RP_OK) {
             self->ops->restored(self->user);
         }
         break;
     case RP_REPLICA_SEND:
-        if (sync_now(self)) {
+        if (sync_journal(self)) {
             self->ops->send(self->user, action->to, &action->msg);
         }
         break;
     case RP_REPLICA_APPLY:
-        if (sync_now(self)) {
-            apply(self, action->entry);
+        if (sync_journal(self)) {
+            apply_entry(self, action->entry);
         }
         break;
     }
@@ -415,32 +423,32 @@
     GString *state = RpCatalog_Snapshot(self->catalog);
     RpReplica_Compact(self->replica, state);
     g_string_free(state, TRUE);
-    rewrite(self);
+    rewrite_journal(self);
 }
 
 static void
-carry_out(struct rp_control_replica *self)
+run_actions(struct rp_control_replica *self)
 {
-    if (self->busy) {
+    if (self->running_actions) {
         return;
     }
-    self->busy = true;
+    self->running_actions = true;
     for (;;) {
         GArray *actions = RpReplica_TakeActions(self->replica);
         guint count = actions->len;
         for (guint i = 0; i < count && !self->failed; i++) {
-            carry_out_one(
-                self, &g_array_index(actions, struct rp_replica_action, i));
+            run_action(self,
+                       &g_array_index(actions, struct rp_replica_action, i));
         }
         RpReplica_FreeActions(actions);
         if (count == 0 || self->failed) {
             break;
         }
     }
-    if (!self->failed && sync_now(self)) {
+    if (!self->failed && sync_journal(self)) {
         compact_if_due(self);
     }
-    self->busy = false;
+    self->running_actions = false;
 }
 
 enum rp_code
@@ -448,16 +456,16 @@
                         const struct rp_replica_member *member,
                         struct rp_error *error)
 {
-    struct rp_replica_member mine = *member;
+    struct rp_replica_member with_id = *member;
 
     if (RpReplica_LastIndex(self->replica) > 0 ||
         RpReplica_Term(self->replica) > 0) {
         return RpError_Add(error, RP_ERR_SETTING, "--create",
-                           "the data folder belongs to a system already");
+                           "the data folder already belongs to a system");
     }
-    mine.id = self->id;
-    RpReplica_Bootstrap(self->replica, &mine);
-    carry_out(self);
+    with_id.id = self->id;
+    RpReplica_Bootstrap(self->replica, &with_id);
+    run_actions(self);
     return self->failed ? RP_ERR_IO : RP_OK;
 }
 
@@ -468,7 +476,7 @@
     if (RpReplica_LastIndex(self->replica) == 0 &&
         RpReplica_Term(self->replica) == 0) {
         RpReplica_BootstrapGroup(self->replica, members);
-        carry_out(self);
+        run_actions(self);
     }
 }
 
@@ -489,12 +497,12 @@
 {
     if (self->failed) {
         if (now >= self->retry_deadline) {
-            reopen(self, now);
+            reopen_journal(self, now);
         }
         return;
     }
     RpReplica_Tick(self->replica, now);
-    carry_out(self);
+    run_actions(self);
 }
 
 void
@@ -503,17 +511,17 @@
 {
     if (!self->failed) {
         RpReplica_Receive(self->replica, now, msg);
-        carry_out(self);
+        run_actions(self);
     }
 }
 
 void
 RpControlReplica_Join(struct rp_control_replica *self, int64_t now,
-                      const struct rp_replica_member *member, bool passed_on)
+                      const struct rp_replica_member *member, bool forwarded)
 {
     if (!self->failed) {
-        RpReplica_Join(self->replica, now, member, passed_on);
-        carry_out(self);
+        RpReplica_Join(self->replica, now, member, forwarded);
+        run_actions(self);
     }
 }
 
@@ -532,5 +540,5 @@
 void
 RpControlReplica_CarryOut(struct rp_control_replica *self)
 {
-    carry_out(self);
+    run_actions(self);
 }
--- a/programs/daemon/control_replica.h
+++ b/programs/daemon/control_replica.h
@@ -1,6 +1,11 @@
-/* A control instance's replica: the agreed log, its journal on disk and the
- * catalogue that the log leads to. Carries out the decisions of
- * rp_replica.h in order, with a sync between storing and sending. */
+/* A replica of the consensus log with its storage: runs the state machine of
+ * rp_replica.h, writes its journal to disk and applies committed entries to
+ * the catalogue.
+ *
+ * Runs the actions of rp_replica.h in order, and syncs the journal after
+ * records are written and before any later message is sent or entry
+ * applied.
+ */
 #ifndef RP_CONTROL_REPLICA_H
 #define RP_CONTROL_REPLICA_H
 
@@ -9,57 +14,69 @@
 #include "rp_error.h"
 #include "rp_replica.h"
 
-/* How often a failed disk is tried again: it may be full for a moment. */
+/* Interval between attempts to reopen the journal after a disk error, since a
+ * full disk may have room again soon. */
 #define RP_STORAGE_RETRY_US (500 * RP_US_PER_MS)
 
 struct rp_control_replica;
 
-/* What its owner is told. */
+/* Callbacks to the owner. */
 struct rp_control_replica_ops {
-    /* Sends a message to the member with this id, if it can. */
+    /* Sends a message to the replica with the id `to`; drops it if there is no
+     * connection. */
     void (*send)(void *user, uint64_t to, const struct rp_msg *msg);
-    /* A command was applied. `reply` is set for changes. */
+    /* An entry was applied. `reply` holds the result of a change or an edition
+     * and is zero for other entries. */
     void (*applied)(void *user, const struct rp_log_entry *entry,
                     const struct rp_msg_change_reply *reply);
-    /* The whole catalogue was replaced by a snapshot. */
+    /* The whole catalogue was replaced, by a snapshot or by reading the
+     * journal again. */
     void (*restored)(void *user);
-    /* The disk failed: what was acknowledged is safe. The replica takes no
-     * part until the disk works again; it tries every
+    /* Writing to the disk failed. Acknowledged changes are safe. The replica
+     * stops taking part until it can reopen its journal, which it tries every
      * RP_STORAGE_RETRY_US. */
     void (*failed)(void *user, const struct rp_error *error);
 };
 
-/* Opens the data folder, creating it if it is missing. A new folder gets the
- * identity `first_id`, or a drawn one if that is 0. NULL with findings on
- * failure. */
+/* Opens the data folder, creating it if it is missing, and loads its journal.
+ * A new folder gets the replica id `first_id`, or a random one if that is 0.
+ * `ops` and `user` are borrowed. Returns NULL and adds findings on failure;
+ * free with RpControlReplica_Close. */
 struct rp_control_replica *
 RpControlReplica_Open(const char *folder, uint64_t first_id, int64_t now,
                       const struct rp_control_replica_ops *ops, void *user,
                       struct rp_error *error);
 
-/* Counts how long syncs take. Borrowed. */
+/* Records the duration of each disk sync in `counters`, which is borrowed. */
 void RpControlReplica_SetCounters(struct rp_control_replica *self,
                                   struct rp_counters *counters);
 
 void RpControlReplica_Close(struct rp_control_replica *self);
 
-/* Makes this the first replica of a new system; fails if the folder holds
- * one already. */
+/* Makes this replica the only member of a new system. Fails with
+ * RP_ERR_SETTING if the folder already belongs to a system, and with RP_ERR_IO
+ * if the disk fails. */
 enum rp_code RpControlReplica_Create(struct rp_control_replica *self,
                                      const struct rp_replica_member *member,
                                      struct rp_error *error);
 
-/* Makes this one of the first replicas of a new system, which are all given
- * the same members; does nothing if the folder holds a state already. */
+/* Makes this replica one of the initial members of a new system; each of them
+ * must be given the same list. Does nothing if the folder already holds a log
+ * or a term. */
 void RpControlReplica_CreateGroup(struct rp_control_replica *self,
                                   const GArray *members);
 
+/* The applied state and the consensus state; owned by this replica.
+ * RpControlReplica_Tick may replace the latter. */
 const struct rp_catalog *
 RpControlReplica_Catalog(const struct rp_control_replica *self);
 struct rp_replica *
 RpControlReplica_Replica(const struct rp_control_replica *self);
 
-/* Events; each carries out what follows from it. */
+/* Events: time passes, a message arrives, a replica asks to join (`passed_on`:
+ * a third replica forwarded its request). Each also runs the resulting
+ * actions. A replica whose disk has failed ignores messages and requests to
+ * join. */
 void RpControlReplica_Tick(struct rp_control_replica *self, int64_t now);
 void RpControlReplica_Receive(struct rp_control_replica *self, int64_t now,
                               const struct rp_msg *msg);
@@ -67,8 +84,10 @@
                            const struct rp_replica_member *member,
                            bool passed_on);
 
-/* Leader: adds a command; it is carried out by RpControlReplica_CarryOut,
- * so that the caller can note `*index` and `*term` first. */
+/* Leader: appends a command to the log and returns its index and term. The
+ * caller records these and then calls RpControlReplica_CarryOut, which stores,
+ * sends and possibly applies the entry. Any other replica, and one whose disk
+ * has failed, returns RP_ERR_NO_LEADER. */
 enum rp_code RpControlReplica_Propose(struct rp_control_replica *self,
                                       int64_t now, const GString *command,
                                       uint64_t *index, uint64_t *term);
