--- a/programs/daemon/agent.c
+++ b/programs/daemon/agent.c
@@ -1,5 +1,5 @@
-/* The agent role: beside one upstream instance. It announces the upstream,
- * owns its flows and passes on what belongs to others. */
+/* The agent role: runs beside one upstream instance, announces the upstream to
+ * control, owns its flows and passes packets of other flows on. */
 #include <glib-unix.h>
 #include <signal.h>
 #include <sodium.h>
@@ -9,10 +9,10 @@
 #include "rp_flow_chart.h"
 
 #define ANNOUNCES_PER_LEASE 3
-/* Log lines a second for each decision on flows: a host of today gets about
- * 60 flows a second at the crest. */
-#define FLOW_LINES 100
-/* How often a stopping agent looks whether it may end. */
+/* Log lines per second for each kind of decision on flows. A host gets about
+ * 60 new flows per second at peak load. */
+#define FLOW_LINES_PER_SECOND 100
+/* How often a stopping agent checks whether it can exit. */
 #define STOP_CHECK_US (20 * RP_US_PER_MS)
 #define MAX_SLOTS 1000000
 #define MAX_SECONDS 86400
@@ -28,39 +28,40 @@
      .kind = RP_SETTING_ENDPOINT,
      .offset = offsetof(struct agent_settings, listen),
      .value = "ADDR:PORT",
-     .help = "take datagrams of balancers and other agents here"},
+     .help =
+         "receive datagrams from balancers and other agents on this address"},
     {.flag = "host-listen",
      .kind = RP_SETTING_ENDPOINT,
      .offset = offsetof(struct agent_settings, host_listen),
      .value = "ADDR:PORT",
-     .help = "take the host's own datagrams here"},
+     .help = "receive datagrams from the host on this address"},
     {.flag = "host",
      .kind = RP_SETTING_ENDPOINT,
      .offset = offsetof(struct agent_settings, host),
      .value = "ADDR:PORT",
-     .help = "the host's Geneve decapsulation"},
+     .help = "address at which the host decapsulates Geneve"},
     {.flag = "fabric",
      .kind = RP_SETTING_ENDPOINT,
      .offset = offsetof(struct agent_settings, fabric),
      .value = "ADDR:PORT",
-     .help = "send packets for callers here"},
+     .help = "send packets for callers to this address"},
     {.flag = "control",
      .kind = RP_SETTING_ENDPOINTS,
      .offset = offsetof(struct agent_settings, controls),
      .value = "ADDR:PORT,…",
-     .help = "the control instances"},
+     .help = "addresses of the control instances"},
     {.flag = "slots",
      .kind = RP_SETTING_UINT,
      .offset = offsetof(struct agent_settings, slots),
      .value = "N",
-     .help = "requests that the host serves at once",
+     .help = "number of requests that the host serves concurrently",
      .min = 1,
      .max = MAX_SLOTS},
     {.flag = "lease-ms",
      .kind = RP_SETTING_UINT,
      .offset = offsetof(struct agent_settings, lease_ms),
      .value = "N",
-     .help = "how long an announcement holds",
+     .help = "an announcement expires after this time unless it is renewed",
      .fallback = "2000",
      .min = 500,
      .max = 60000},
@@ -68,21 +69,21 @@
      .kind = RP_SETTING_UINT,
      .offset = offsetof(struct agent_settings, ramp_seconds),
      .value = "N",
-     .help = "cold start: let the slots grow over this time",
+     .help = "increase the slots gradually over this time after the start",
      .fallback = "0",
      .max = MAX_SECONDS},
     {.flag = "drain-seconds",
      .kind = RP_SETTING_UINT,
      .offset = offsetof(struct agent_settings, drain_seconds),
      .value = "N",
-     .help = "wait at most this long for open flows when stopped",
+     .help = "when stopping, wait at most this long for open flows to end",
      .fallback = "60",
      .max = MAX_SECONDS},
     {.flag = "host-patience-ms",
      .kind = RP_SETTING_UINT,
      .offset = offsetof(struct agent_settings, patience_ms),
      .value = "N",
-     .help = "how long the host may take to answer the start of a flow",
+     .help = "how long to wait for the host to answer a new flow",
      .fallback = "250",
      .min = 5,
      .max = 10000},
@@ -90,13 +91,14 @@
      .kind = RP_SETTING_ENDPOINT,
      .offset = offsetof(struct agent_settings, host_reports),
      .value = "ADDR:PORT",
-     .help = "the host reports itself here; no flow before it has",
+     .help = "receive the host's reports on this address; no flow is admitted "
+             "before the first one",
      .optional = true},
     {.flag = "host-report-ms",
      .kind = RP_SETTING_UINT,
      .offset = offsetof(struct agent_settings, report_ms),
      .value = "N",
-     .help = "how often the host reports itself",
+     .help = "interval of the host's reports",
      .fallback = "1000",
      .min = 10,
      .max = 60000},
@@ -105,7 +107,8 @@
 };
 
 static void
-drop(struct agent *agent, enum rp_counter reason, struct rp_endpoint from)
+log_dropped_packet(struct agent *agent, enum rp_counter reason,
+                   struct rp_endpoint from)
 {
     char text[RP_ENDPOINT_TEXT_MAX];
 
@@ -114,8 +117,9 @@
                 RpEndpoint_Format(from, text));
 }
 
-/* Sends an action's bytes. What was just received stays valid until the
- * batch ends; what the agent made or kept does not, and goes at once. */
+/* Sends an action's bytes. A received packet stays valid until the end of the
+ * batch and is queued; bytes that the agent has built or stored do not, and
+ * are sent at once. */
 static void
 send_action(struct agent *agent, struct rp_udp *udp, struct rp_endpoint to,
             const uint8_t *header, size_t header_len,
@@ -130,7 +134,7 @@
 }
 
 static void
-carry_out(struct agent *agent, const struct rp_action *action)
+run_action(struct agent *agent, const struct rp_action *action)
 {
     const struct rp_codec_ops *ops = agent->codec->ops;
     uint8_t header[RP_GENEVE_HEADROOM];
@@ -164,17 +168,17 @@
 }
 
 static void
-carry_out_all(struct agent *agent)
+run_actions(struct agent *agent)
 {
     for (size_t i = 0; i < agent->actions.count; i++) {
-        carry_out(agent, &agent->actions.item[i]);
+        run_action(agent, &agent->actions.item[i]);
     }
 }
 
 static bool
-parse(struct agent *agent, const uint8_t *data, size_t len,
-      struct rp_endpoint from, struct rp_geneve *geneve,
-      struct rp_packet *packet)
+parse_encapsulated(struct agent *agent, const uint8_t *data, size_t len,
+                   struct rp_endpoint from, struct rp_geneve *geneve,
+                   struct rp_packet *packet)
 {
     const struct rp_codec_ops *ops = agent->codec->ops;
     enum rp_counter reason;
@@ -187,14 +191,14 @@
         return true;
     }
     RpCounters_Add(&agent->daemon.counters, reason);
-    drop(agent, reason, from);
+    log_dropped_packet(agent, reason, from);
     return false;
 }
 
-/* The same for what the host sends, without Geneve. */
+/* Parses a packet from the host that is not encapsulated in Geneve. */
 static bool
-parse_bare(struct agent *agent, uint8_t *data, size_t len,
-           struct rp_endpoint from, struct rp_packet *packet)
+parse_unencapsulated(struct agent *agent, uint8_t *data, size_t len,
+                     struct rp_endpoint from, struct rp_packet *packet)
 {
     const struct rp_codec_ops *ops = agent->codec->ops;
     enum rp_counter reason;
@@ -209,18 +213,18 @@
         return true;
     }
     RpCounters_Add(&agent->daemon.counters, reason);
-    drop(agent, reason, from);
+    log_dropped_packet(agent, reason, from);
     return false;
 }
 
 static void
-log_drops(struct agent *agent, struct rp_endpoint from)
+log_dropped_packets(struct agent *agent, struct rp_endpoint from)
 {
     for (size_t i = 0; i < agent->actions.count; i++) {
         const struct rp_action *action = &agent->actions.item[i];
         if (action->kind == RP_ACTION_DROP &&
             !RpAgentLog_Event(action->reason)) {
-            drop(agent, action->reason, from);
+            log_dropped_packet(agent, action->reason, from);
         }
     }
 }
@@ -229,7 +233,7 @@
 RpAgentRole_RunTimers(struct agent *agent, int64_t now)
 {
     while (RpAgent_OnTimer(agent->flows, now, &agent->actions)) {
-        carry_out_all(agent);
+        run_actions(agent);
     }
     RpWake_At(agent->wake, RpAgent_NextTimer(agent->flows));
 }
@@ -242,16 +246,17 @@
     struct rp_geneve geneve;
     struct rp_packet packet;
 
-    if (parse(agent, data, len, from, &geneve, &packet)) {
+    if (parse_encapsulated(agent, data, len, from, &geneve, &packet)) {
         int64_t now = RpClock_Now();
         RpAgent_FromCaller(agent->flows, now, &packet, &geneve,
                            &agent->actions);
         if (agent->actions.begins_request) {
             RpAgentLog_Request(agent, &packet);
         }
-        log_drops(agent, from);
-        carry_out_all(agent);
-        /* What the gate lets go must not be overtaken by the next packet. */
+        log_dropped_packets(agent, from);
+        run_actions(agent);
+        /* Packets released from the gate must be sent before the next received
+         * packet is handled. */
         RpAgentRole_RunTimers(agent, now);
     }
 }
@@ -264,18 +269,19 @@
     struct rp_geneve geneve;
     struct rp_packet packet;
 
-    bool good = agent->codec->ops->framed
-                    ? parse(agent, data, len, from, &geneve, &packet)
-                    : parse_bare(agent, data, len, from, &packet);
-    if (good) {
+    bool parsed = agent->codec->ops->framed
+                      ? parse_encapsulated(agent, data, len, from, &geneve,
+                                           &packet)
+                      : parse_unencapsulated(agent, data, len, from, &packet);
+    if (parsed) {
         int64_t now = RpClock_Now();
         RpAgent_FromHost(agent->flows, now, &packet, &agent->actions);
         if (agent->actions.begins_answer) {
             RpAgentLog_Answer(agent, &packet);
         }
-        log_drops(agent, from);
-        carry_out_all(agent);
-        /* An answer may have freed a slot that a request waits for. */
+        log_dropped_packets(agent, from);
+        run_actions(agent);
+        /* The answer may have freed a slot for a waiting request. */
         RpAgentRole_RunTimers(agent, now);
     }
 }
@@ -347,7 +353,8 @@
     RpAgentRole_Announce(agent);
 }
 
-/* An order does not take back a stop that has begun. */
+/* Handles an operator's order to drain or resume. Orders are ignored once a
+ * stop has begun. */
 static void
 on_order(void *user, const struct rp_msg_order *order)
 {
@@ -358,10 +365,12 @@
     }
 }
 
-/* Control has heard of a later life of this upstream than this process says
- * it is: the time of day, from which lives are numbered, was stepped back. */
+/* Handles a newer announcement of this upstream than the one sent.
+ * Incarnations are taken from the wall clock; if it was stepped back, this
+ * process's incarnation is lower than that of an earlier process and must be
+ * raised above it. */
 static void
-on_overtaken(void *user, const struct rp_msg_announce *newer)
+on_newer_announcement(void *user, const struct rp_msg_announce *newer)
 {
     struct agent *agent = user;
 
@@ -378,11 +387,14 @@
     .connected = on_connected,
     .table_changed = on_table_changed,
     .ordered = on_order,
-    .overtaken = on_overtaken};
-
-/* A stop request drains the upstream first. A host that reports itself
- * drains by itself: while it is there this process alone is replaced, and
- * its successor learns the flows from the host. */
+    .overtaken = on_newer_announcement};
+
+/* Handles a stop request, which normally drains the upstream first.
+ *
+ * A host that reports itself drains by itself. While it is ready, only this
+ * process is being replaced: it exits at once, and the next agent learns the
+ * flows from the host.
+ */
 static void
 on_stop(void *user)
 {
@@ -402,8 +414,8 @@
     RpWake_At(agent->wake, 0);
 }
 
-/* The agent alone is replaced: the host stays, and the next agent learns
- * its flows from it. */
+/* Handles SIGUSR2: exits without draining. The host stays up, and the next
+ * agent learns the flows from it. */
 static gboolean
 on_replace_signal(gpointer data)
 {
@@ -414,9 +426,10 @@
     return G_SOURCE_REMOVE;
 }
 
-/* Goes on with a stop: says goodbye once no flow is left, then ends. */
+/* Continues a stop: announces that the upstream is gone once no flow is left
+ * or the drain time is over, then exits when that announcement is sent. */
 static void
-go_on_stopping(struct agent *agent, int64_t now)
+continue_stop(struct agent *agent, int64_t now)
 {
     uint32_t flows = RpAgent_Load(agent->flows, now).flows;
 
@@ -435,9 +448,10 @@
     }
 }
 
-/* Something is due: a flow, the next announcement, the host's silence. */
+/* Runs everything that is due: flow timers, the host's report timeout, the
+ * next announcement and a stop in progress. */
 static void
-on_wake(void *user)
+on_deadline(void *user)
 {
     struct agent *agent = user;
     int64_t now = RpClock_Now();
@@ -447,7 +461,7 @@
     if (now >= agent->announce_deadline) {
         RpAgentRole_Announce(agent);
     }
-    go_on_stopping(agent, now);
+    continue_stop(agent, now);
     RpWake_At(agent->wake, agent->announce_deadline);
     if (RpHost_IsHeard(&agent->host, now)) {
         RpWake_At(agent->wake, RpHost_SilenceDeadline(&agent->host));
@@ -467,7 +481,7 @@
         return false;
     }
     if (!agent->service) {
-        g_string_append(why, "no document for this service yet");
+        g_string_append(why, "no configuration received for this service yet");
         return false;
     }
     g_string_append(why, "ok");
@@ -515,7 +529,7 @@
 }
 
 static void
-create_flows(struct agent *agent)
+create_flow_engine(struct agent *agent)
 {
     int64_t now = RpClock_Now();
     struct rp_agent_config config = {
@@ -537,14 +551,14 @@
 on_reload(void *user, const void *settings)
 {
     struct agent *agent = user;
-    struct agent_settings fresh = *(const struct agent_settings *)settings;
+    struct agent_settings updated = *(const struct agent_settings *)settings;
 
-    RpDaemon_SetPorts(&fresh.controls, fresh.control_port);
-    RpUplink_SetControls(agent->uplink, &fresh.controls);
+    RpDaemon_SetPorts(&updated.controls, updated.control_port);
+    RpUplink_SetControls(agent->uplink, &updated.controls);
 }
 
 static bool
-start(struct agent *agent)
+start_role(struct agent *agent)
 {
     struct rp_error error;
 
@@ -558,8 +572,8 @@
     agent->incarnation = (uint64_t)g_get_real_time();
     agent->drain_deadline = RP_NEVER;
     agent->started_ms = g_get_real_time() / RP_US_PER_MS;
-    agent->wake = RpWake_Create(on_wake, agent);
-    create_flows(agent);
+    agent->wake = RpWake_Create(on_deadline, agent);
+    create_flow_engine(agent);
     if (!RpAgentHost_Open(agent)) {
         return false;
     }
@@ -580,9 +594,9 @@
 
     if (!RpDaemon_ReadSettings(
             settings_table, G_N_ELEMENTS(settings_table), "radishportd agent",
-            "Runs beside one upstream instance: announces it and owns its "
-            "flows.\nSIGTERM drains the upstream, then stops; SIGUSR2 stops "
-            "this process alone.",
+            "Runs beside one upstream instance: announces it to control and "
+            "owns its flows.\nSIGTERM drains the upstream, then exits; "
+            "SIGUSR2 exits without draining.",
             argc, argv, &agent.settings, &exit_code)) {
         return exit_code;
     }
@@ -601,12 +615,13 @@
                         on_stop, &agent)) {
         return agent.daemon.exit_code;
     }
-    RpLog_SetBudget(agent.daemon.log, "flow_admitted", FLOW_LINES);
-    RpLog_SetBudget(agent.daemon.log, "request_received", FLOW_LINES);
-    RpLog_SetBudget(agent.daemon.log, "answer_began", FLOW_LINES);
-    RpLog_SetBudget(agent.daemon.log, "flow_refused", FLOW_LINES);
-    RpLog_SetBudget(agent.daemon.log, "flow_passed_on", FLOW_LINES);
-    if (!start(&agent)) {
+    RpLog_SetBudget(agent.daemon.log, "flow_admitted", FLOW_LINES_PER_SECOND);
+    RpLog_SetBudget(agent.daemon.log, "request_received",
+                    FLOW_LINES_PER_SECOND);
+    RpLog_SetBudget(agent.daemon.log, "answer_began", FLOW_LINES_PER_SECOND);
+    RpLog_SetBudget(agent.daemon.log, "flow_refused", FLOW_LINES_PER_SECOND);
+    RpLog_SetBudget(agent.daemon.log, "flow_passed_on", FLOW_LINES_PER_SECOND);
+    if (!start_role(&agent)) {
         return RP_EXIT_FAILED;
     }
     RpDaemon_WatchSettings(&agent.daemon, &source, on_reload, &agent);
--- a/programs/daemon/agent.h
+++ b/programs/daemon/agent.h
@@ -1,4 +1,5 @@
-/* The agent role's own parts, shared by the agent*.c files. */
+/* State of the agent role, and the functions that the agent*.c files provide
+ * to each other. */
 #ifndef AGENT_H
 #define AGENT_H
 
@@ -25,7 +26,7 @@
     uint32_t patience_ms;
     uint32_t report_ms;
     GString *packets;
-    struct rp_endpoint host_reports; /* port 0: the host does not report */
+    struct rp_endpoint host_reports; /* port 0: the host sends no reports */
 };
 
 struct agent {
@@ -38,36 +39,41 @@
     const struct rp_codec *codec;
     struct rp_platform *platform;
     struct rp_wake *wake;
-    struct rp_host host; /* as it reports itself */
+    struct rp_host host; /* state of the host, from its own reports */
     enum rp_host_state host_state;
-    int64_t started_ms; /* by the time of day, in Unix milliseconds */
+    int64_t started_ms; /* wall clock, in Unix milliseconds */
     struct rp_agent *flows;
     struct rp_actions actions;
-    const struct rp_service *service; /* in the uplink's table, or NULL */
-    const uint8_t *received;          /* the packet being handled */
-    struct rp_flow_key received_flow; /* its flow, as the caller names it */
+    const struct rp_service *service; /* in the uplink's table; NULL until a
+                                       * table has it */
+    const uint8_t *received;          /* the packet being handled; NULL if
+                                       * it is invalid */
+    struct rp_flow_key received_flow; /* its flow, from the caller to the
+                                       * service's address */
     uint64_t incarnation;
     uint64_t sequence;
     int64_t announce_deadline;
-    int64_t drain_deadline; /* RP_NEVER while the agent is not stopping */
+    int64_t drain_deadline; /* RP_NEVER unless the agent is stopping */
     bool draining;
-    bool leaving; /* has said goodbye */
+    bool leaving; /* has announced that the upstream is gone */
 };
 
-/* agent.c: sends what is due, and tells control of this upstream. */
+/* agent.c: RunTimers runs the flow timers that are due and sends their
+ * packets. Announce sends the state and load of this upstream to control. */
 void RpAgentRole_RunTimers(struct agent *agent, int64_t now);
 void RpAgentRole_Announce(struct agent *agent);
 
-/* agent_host.c: a host that reports itself. Serves its reports; until the
- * first one the host is unknown. */
+/* agent_host.c: receives the host's own reports over HTTP. Until the first one
+ * the host's state is unknown. Does nothing if the host sends no reports.
+ * False after printing the error. */
 bool RpAgentHost_Open(struct agent *agent);
 
-/* What follows from all that the host has said so far, and from how long ago
- * that was. */
+/* Updates the host's state from its reports and from the time since the last
+ * one. */
 void RpAgentHost_Review(struct agent *agent, int64_t now);
 
-/* agent_log.c: one line for each decision on a flow. The event under which a
- * decision is logged, or NULL for ordinary forwarding. */
+/* agent_log.c: logs one line for each decision on a flow. Event returns the
+ * log event for a decision, or NULL for ordinary forwarding. */
 const char *RpAgentLog_Event(enum rp_counter reason);
 void RpAgentLog_Action(struct agent *agent, const struct rp_action *action);
 void RpAgentLog_Request(struct agent *agent, const struct rp_packet *packet);
--- a/programs/daemon/agent_host.c
+++ b/programs/daemon/agent_host.c
@@ -1,4 +1,5 @@
-/* The host beside an agent, by its own reports. */
+/* Tracks the state of the agent's host from the reports that the host
+ * sends. */
 #include "agent.h"
 #include "rp_clock.h"
 
@@ -22,7 +23,6 @@
     RpAgentRole_Announce(agent);
 }
 
-/* What follows from all that the host has said so far. */
 void
 RpAgentHost_Review(struct agent *agent, int64_t now)
 {
@@ -43,10 +43,14 @@
     }
 }
 
-/* A life of the host begins: the flows of the one before are lost. An agent
- * that was there before it knows all its flows. */
+/* Handles the first report after a start of the host. The flows from before
+ * the start are lost.
+ *
+ * An agent that has run since before that start knows all flows of the
+ * host.
+ */
 static void
-on_host_started(struct agent *agent, int64_t now, bool known_before)
+on_host_started(struct agent *agent, int64_t now, bool had_reported)
 {
     const struct rp_host_report *report = &agent->host.last;
 
@@ -55,7 +59,7 @@
                 " sequence=%" G_GUINT64_FORMAT " slots=%u",
                 report->id.data, report->born_ms, report->sequence,
                 report->slots);
-    if (known_before) {
+    if (had_reported) {
         RpAgent_HostRestarted(agent->flows, now);
     }
     else if (report->sequence <= RP_HOST_FIRST_SEQUENCE ||
@@ -69,24 +73,24 @@
 {
     struct agent *agent = user;
     int64_t now = RpClock_Now();
-    bool known_before = agent->host.known;
-    enum rp_host_news news = RpHost_Report(&agent->host, now, report);
+    bool had_reported = agent->host.known;
+    enum rp_host_news outcome = RpHost_Report(&agent->host, now, report);
 
-    if (news == RP_HOST_NEWS_FOREIGN) {
+    if (outcome == RP_HOST_NEWS_FOREIGN) {
         RpLog_Event(agent->daemon.log, RP_LOG_WARN, "host_foreign",
                     "host=%s service=%s", report->id.data,
                     report->service.data);
         return RP_ERR_NOT_FOUND;
     }
-    if (news == RP_HOST_NEWS_STALE) {
+    if (outcome == RP_HOST_NEWS_STALE) {
         RpLog_Event(
             agent->daemon.log, RP_LOG_WARN, "host_report_late",
             "host=%s sequence=%" G_GUINT64_FORMAT " known=%" G_GUINT64_FORMAT,
             report->id.data, report->sequence, agent->host.last.sequence);
         return RP_OK;
     }
-    if (news == RP_HOST_NEWS_STARTED) {
-        on_host_started(agent, now, known_before);
+    if (outcome == RP_HOST_NEWS_STARTED) {
+        on_host_started(agent, now, had_reported);
     }
     RpAgent_SetHostSlots(agent->flows, report->slots);
     RpAgentHost_Review(agent, now);
@@ -95,7 +99,7 @@
 }
 
 static enum rp_code
-on_host_leaves(void *user, const struct rp_name *id)
+on_host_left(void *user, const struct rp_name *id)
 {
     struct agent *agent = user;
     int64_t now = RpClock_Now();
@@ -109,10 +113,10 @@
 }
 
 static void
-on_unreadable(void *user, const char *what, const struct rp_error *error)
+on_unreadable(void *user, const char *message, const struct rp_error *error)
 {
     struct agent *agent = user;
-    gchar *pairs = g_strdup_printf("what=%s ", what);
+    gchar *pairs = g_strdup_printf("what=%s ", message);
 
     RpDaemon_LogFindings(&agent->daemon, RP_LOG_WARN, "message_unreadable",
                          pairs, error);
@@ -123,7 +127,7 @@
 RpAgentHost_Open(struct agent *agent)
 {
     static const struct rp_platform_ops ops = {.host_report = on_host_report,
-                                               .host_leaves = on_host_leaves,
+                                               .host_leaves = on_host_left,
                                                .unreadable = on_unreadable};
     struct rp_error error;
 
--- a/programs/daemon/agent_log.c
+++ b/programs/daemon/agent_log.c
@@ -1,9 +1,9 @@
-/* What an agent writes into its log about flows. */
+/* Logs an agent's decisions on flows. */
 #include "agent.h"
 #include "rp_clock.h"
 
-/* The event under which an action is logged, each with a budget of its own;
- * NULL: ordinary forwarding. */
+/* Returns the log event for an action, or NULL for ordinary forwarding. Each
+ * event has its own limit of lines per second. */
 const char *
 RpAgentLog_Event(enum rp_counter reason)
 {
@@ -39,7 +39,7 @@
     }
 }
 
-/* The flow as its caller names it: "caller>address". */
+/* Appends a flow as "caller>address", from the caller's side. */
 static void
 format_flow(GString *out, struct rp_flow_key flow)
 {
@@ -50,9 +50,9 @@
     g_string_append(out, RpEndpoint_Format(RpFlowKey_Target(flow), text));
 }
 
-/* The flow that an action is about. */
+/* Returns the flow that an action concerns, from the caller's side. */
 static struct rp_flow_key
-flow_of(const struct agent *agent, const struct rp_action *action)
+find_flow(const struct agent *agent, const struct rp_action *action)
 {
     struct rp_packet packet;
     enum rp_counter reason;
@@ -65,7 +65,7 @@
                                                : packet.key;
 }
 
-/* One line for each decision on a flow, with what decided it. */
+/* Logs the decision behind an action, with the state that it is based on. */
 void
 RpAgentLog_Action(struct agent *agent, const struct rp_action *action)
 {
@@ -77,7 +77,7 @@
     struct rp_agent_load load = RpAgent_Load(agent->flows, RpClock_Now());
     char text[RP_ENDPOINT_TEXT_MAX];
     GString *flow = g_string_new(NULL);
-    format_flow(flow, flow_of(agent, action));
+    format_flow(flow, find_flow(agent, action));
     if (action->kind == RP_ACTION_PASS) {
         g_string_append_printf(flow, " next=%s tried=%u/%u",
                                RpEndpoint_Format(action->next, text),
@@ -92,7 +92,8 @@
     g_string_free(flow, TRUE);
 }
 
-/* The first packet of a request, with the id that its caller gave it. */
+/* Logs the first packet of a request, with the request id that the caller
+ * gave. */
 void
 RpAgentLog_Request(struct agent *agent, const struct rp_packet *packet)
 {
@@ -109,6 +110,7 @@
     g_string_free(line, TRUE);
 }
 
+/* Logs the first packet of an answer, with the time since the request. */
 void
 RpAgentLog_Answer(struct agent *agent, const struct rp_packet *packet)
 {
