--- a/programs/daemon/balancer.c
+++ b/programs/daemon/balancer.c
@@ -1,4 +1,5 @@
-/* The balancer role: a packet in, a table look-up, a packet out. */
+/* The balancer role: receives packets from the fabric, looks up the agent of
+ * each in the table and forwards the packet to it. */
 #include "rp_daemon.h"
 #include "rp_balancer.h"
 #include "rp_platform.h"
@@ -7,9 +8,9 @@
 
 #define STOP_LINGER_MAX 300 /* seconds */
 #define ZONE_WEIGHT_MAX 100
-/* Log lines a second for decisions on new flows: at the crest a balancer of
- * today gets about 80. */
-#define FLOW_LINES 100
+/* Log lines per second for each kind of decision on new flows. A balancer gets
+ * about 80 new flows per second at peak load. */
+#define FLOW_LINES_PER_SECOND 100
 
 struct balancer_settings {
     struct rp_common_settings common;
@@ -19,7 +20,7 @@
     uint32_t control_port;
     uint32_t zone_weight;
     GString *packets;
-    struct rp_endpoint fabric_ready; /* port 0: not served */
+    struct rp_endpoint fabric_ready; /* port 0: no readiness endpoint */
 };
 
 struct balancer {
@@ -38,24 +39,24 @@
      .kind = RP_SETTING_ENDPOINT,
      .offset = offsetof(struct balancer_settings, listen),
      .value = "ADDR:PORT",
-     .help = "take Geneve datagrams from the fabric here"},
+     .help = "receive Geneve datagrams from the fabric on this address"},
     {.flag = "control",
      .kind = RP_SETTING_ENDPOINTS,
      .offset = offsetof(struct balancer_settings, controls),
      .value = "ADDR:PORT,…",
-     .help = "the control instances"},
+     .help = "addresses of the control instances"},
     {.flag = "stop-linger-seconds",
      .kind = RP_SETTING_UINT,
      .offset = offsetof(struct balancer_settings, linger_seconds),
      .value = "N",
-     .help = "keep forwarding this long after a stop request",
+     .help = "keep forwarding for this time after a stop request",
      .fallback = "2",
      .max = STOP_LINGER_MAX},
     {.flag = "zone-weight",
      .kind = RP_SETTING_UINT,
      .offset = offsetof(struct balancer_settings, zone_weight),
      .value = "N",
-     .help = "upstreams in this zone count N times as much as others",
+     .help = "multiply the weight of upstreams in this balancer's zone by N",
      .fallback = "1",
      .min = 1,
      .max = ZONE_WEIGHT_MAX},
@@ -63,15 +64,15 @@
      .kind = RP_SETTING_ENDPOINT,
      .offset = offsetof(struct balancer_settings, fabric_ready),
      .value = "ADDR:PORT",
-     .help = "tell the fabric here whether this balancer takes packets",
+     .help = "answer the fabric's readiness checks on this address",
      .optional = true},
     RP_PACKETS_SETTING(balancer_settings, packets),
     RP_CONTROL_PORT_SETTING(balancer_settings, control_port),
 };
 
 static void
-drop(struct balancer *balancer, enum rp_counter reason,
-     struct rp_endpoint from)
+count_and_log_drop(struct balancer *balancer, enum rp_counter reason,
+                   struct rp_endpoint from)
 {
     char text[RP_ENDPOINT_TEXT_MAX];
 
@@ -101,10 +102,10 @@
     RpUdp_SendCopy(balancer->udp, from, header, header_len, reset, len);
 }
 
-/* Reads a datagram of the fabric. */
+/* Parses a datagram from the fabric. */
 static bool
-parse(const struct rp_codec_ops *ops, const uint8_t *data, size_t len,
-      struct rp_packet *packet, enum rp_counter *reason)
+parse_datagram(const struct rp_codec_ops *ops, const uint8_t *data, size_t len,
+               struct rp_packet *packet, enum rp_counter *reason)
 {
     struct rp_geneve geneve;
 
@@ -115,7 +116,7 @@
            ops->parse(geneve.inner, geneve.inner_len, packet, reason);
 }
 
-/* One line for each new flow: where it was sent, and by which table. */
+/* Logs the route of a new flow and the table that it is based on. */
 static void
 log_route(struct balancer *balancer, const struct rp_packet *packet,
           const struct rp_route *route)
@@ -147,8 +148,8 @@
     struct rp_route route;
     enum rp_counter reason;
 
-    if (!parse(ops, data, len, &packet, &reason)) {
-        drop(balancer, reason, from);
+    if (!parse_datagram(ops, data, len, &packet, &reason)) {
+        count_and_log_drop(balancer, reason, from);
         return;
     }
     RpBalancer_Route(RpUplink_Table(balancer->uplink), &packet, &route);
@@ -173,13 +174,13 @@
 }
 
 static void
-on_uplink_event(void *user)
+ignore_uplink_event(void *user)
 {
     (void)user;
 }
 
 static const struct rp_uplink_ops uplink_ops = {
-    .connected = on_uplink_event, .table_changed = on_uplink_event};
+    .connected = ignore_uplink_event, .table_changed = ignore_uplink_event};
 
 static bool
 is_healthy(void *user, GString *why)
@@ -191,7 +192,7 @@
         return false;
     }
     if (RpTable_Revision(RpUplink_Table(balancer->uplink)) == 0) {
-        g_string_append(why, "no table yet");
+        g_string_append(why, "no table received yet");
         return false;
     }
     g_string_append(why, "ok");
@@ -211,8 +212,9 @@
                            RpUplink_IsConnected(balancer->uplink));
 }
 
-/* Only a balancer that control has just told what is in force takes
- * packets; one that is stopping sends the fabric elsewhere first. */
+/* Returns whether the fabric may send packets here: not before control has
+ * sent the first table, and not while stopping, so that the fabric moves its
+ * traffic first. */
 static bool
 is_ready(void *user)
 {
@@ -226,11 +228,11 @@
 on_reload(void *user, const void *settings)
 {
     struct balancer *balancer = user;
-    struct balancer_settings fresh = *(
+    struct balancer_settings updated = *(
         const struct balancer_settings *)settings;
 
-    RpDaemon_SetPorts(&fresh.controls, fresh.control_port);
-    RpUplink_SetControls(balancer->uplink, &fresh.controls);
+    RpDaemon_SetPorts(&updated.controls, updated.control_port);
+    RpUplink_SetControls(balancer->uplink, &updated.controls);
 }
 
 static bool
@@ -254,7 +256,7 @@
                                               .gauges = write_gauges};
 
 static gboolean
-on_linger_over(gpointer data)
+on_linger_end(gpointer data)
 {
     struct balancer *balancer = data;
 
@@ -262,15 +264,16 @@
     return G_SOURCE_REMOVE;
 }
 
-/* /healthz fails from now on; packets are forwarded until the fabric has
- * had time to notice. */
+/* Handles a stop request. From now on /healthz fails, and the fabric is told
+ * to send no packets; packets are still forwarded until the fabric has had
+ * time to react. */
 static void
 on_stop(void *user)
 {
     struct balancer *balancer = user;
 
     balancer->stopping = true;
-    g_timeout_add_seconds(balancer->settings.linger_seconds, on_linger_over,
+    g_timeout_add_seconds(balancer->settings.linger_seconds, on_linger_end,
                           balancer);
 }
 
@@ -297,8 +300,8 @@
 
     if (!RpDaemon_ReadSettings(settings_table, G_N_ELEMENTS(settings_table),
                                "radishportd balancer",
-                               "Takes packets of callers from the fabric and "
-                               "sends each to an agent of the right service.",
+                               "Receives callers' packets from the fabric and "
+                               "forwards each to an agent of its service.",
                                argc, argv, &balancer.settings, &exit_code)) {
         return exit_code;
     }
@@ -318,8 +321,8 @@
                         on_stop, &balancer)) {
         return daemon->exit_code;
     }
-    RpLog_SetBudget(daemon->log, "flow_routed", FLOW_LINES);
-    RpLog_SetBudget(daemon->log, "flow_unrouted", FLOW_LINES);
+    RpLog_SetBudget(daemon->log, "flow_routed", FLOW_LINES_PER_SECOND);
+    RpLog_SetBudget(daemon->log, "flow_unrouted", FLOW_LINES_PER_SECOND);
     balancer.uplink = RpUplink_Create(daemon, &balancer.settings.controls,
                                       &all_services, &uplink_ops, &balancer);
     RpUplink_PreferZone(balancer.uplink, &balancer.settings.common.zone,
--- a/programs/daemon/main.c
+++ b/programs/daemon/main.c
@@ -1,4 +1,5 @@
-/* radishportd: one binary, one role per process. */
+/* Entry point of radishportd, which runs one of three roles: balancer, agent
+ * or control. */
 #include <stdio.h>
 #include <string.h>
 
@@ -9,9 +10,12 @@
     int (*main)(int argc, char **argv);
     const char *help;
 } roles[] = {
-    {"balancer", RpBalancer_Main, "takes packets from the fabric"},
-    {"agent", RpAgent_Main, "runs beside one upstream instance"},
-    {"control", RpControl_Main, "keeps the configuration and the registry"},
+    {"balancer", RpBalancer_Main,
+     "forwards packets from the fabric to agents"},
+    {"agent", RpAgent_Main,
+     "runs beside one upstream instance and owns its flows"},
+    {"control", RpControl_Main,
+     "stores the configuration and tracks the upstreams"},
 };
 
 static void
@@ -21,8 +25,9 @@
     for (size_t i = 0; i < G_N_ELEMENTS(roles); i++) {
         fprintf(out, "  %-10s %s\n", roles[i].name, roles[i].help);
     }
-    fprintf(out, "\nradishportd ROLE --help lists the role's flags.\n"
-                 "Exit codes: 0 stopped as asked, 1 fault, 2 bad settings.\n");
+    fprintf(out,
+            "\nradishportd ROLE --help lists the role's flags.\n"
+            "Exit codes: 0 stopped on request, 1 failure, 2 bad settings.\n");
 }
 
 int
--- a/programs/daemon/rp_daemon.c
+++ b/programs/daemon/rp_daemon.c
@@ -1,3 +1,4 @@
+/* Start-up, settings reload and shutdown of a role. */
 #include "rp_daemon.h"
 
 #include <glib-unix.h>
@@ -10,11 +11,11 @@
 #include "rp_keyfile.h"
 #include "rp_platform.h"
 
-/* How often the settings file is looked at, in case it changes without a
- * signal. Seconds. */
-#define WATCH_SECONDS 5
-/* How often the log tells what it left out. Seconds. */
-#define REPORT_SECONDS 2
+/* How often the settings file is checked for a change without a SIGHUP.
+ * Seconds. */
+#define WATCH_INTERVAL_SECONDS 5
+/* How often the log reports the number of suppressed lines. Seconds. */
+#define REPORT_INTERVAL_SECONDS 2
 
 void
 RpDaemon_PrintFindings(const struct rp_error *error)
@@ -58,7 +59,8 @@
     return result == RP_SETTINGS_READY;
 }
 
-/* The first signal asks the role to stop; a second one ends it at once. */
+/* Handles SIGTERM and SIGINT: the first one requests a stop, a second one ends
+ * the process with RP_EXIT_FAILED. */
 static gboolean
 on_signal(gpointer data)
 {
@@ -78,7 +80,6 @@
 read_keys(struct rp_daemon *daemon, const struct rp_common_settings *settings)
 {
     struct rp_error error;
-
     enum rp_code code;
 
     RpError_Init(&error);
@@ -97,7 +98,7 @@
 }
 
 static gboolean
-on_report(gpointer data)
+on_log_report(gpointer data)
 {
     struct rp_daemon *daemon = data;
 
@@ -129,7 +130,7 @@
         .counters = &daemon->counters,
         .log = daemon->log};
     daemon->loop = g_main_loop_new(NULL, FALSE);
-    g_timeout_add_seconds(REPORT_SECONDS, on_report, daemon);
+    g_timeout_add_seconds(REPORT_INTERVAL_SECONDS, on_log_report, daemon);
 
     daemon->stop = stop;
     daemon->stop_user = user;
@@ -138,9 +139,10 @@
     return true;
 }
 
-/* When the settings file was last changed; 0 if there is none. */
+/* Returns the mtime of the settings file in microseconds; 0 if there is
+ * none. */
 static int64_t
-change_time(const struct rp_settings_source *source)
+settings_file_mtime(const struct rp_settings_source *source)
 {
     gchar *path = RpSettings_FilePath(source->argc, source->argv);
     GStatBuf status = {0};
@@ -155,15 +157,16 @@
 }
 
 static void
-read_again(struct rp_daemon *daemon)
+reload_settings(struct rp_daemon *daemon)
 {
     const struct rp_settings_source *source = &daemon->source;
-    /* Texts inside live on: the role may have taken them. */
+    /* The strings inside are not freed, because the role may have kept
+     * pointers to them. */
     void *settings = g_malloc0(source->size);
     struct rp_error error;
 
     RpError_Init(&error);
-    daemon->file_changed = change_time(source);
+    daemon->file_changed = settings_file_mtime(source);
     if (RpSettings_Read(source->table, source->count, daemon->role_name, "",
                         source->argc, source->argv, settings,
                         &error) == RP_SETTINGS_READY) {
@@ -179,19 +182,19 @@
 }
 
 static gboolean
-on_hangup(gpointer data)
+on_sighup(gpointer data)
 {
-    read_again(data);
+    reload_settings(data);
     return G_SOURCE_CONTINUE;
 }
 
 static gboolean
-on_watch(gpointer data)
+on_watch_timer(gpointer data)
 {
     struct rp_daemon *daemon = data;
 
-    if (change_time(&daemon->source) != daemon->file_changed) {
-        read_again(daemon);
+    if (settings_file_mtime(&daemon->source) != daemon->file_changed) {
+        reload_settings(daemon);
     }
     return G_SOURCE_CONTINUE;
 }
@@ -204,10 +207,10 @@
     daemon->source = *source;
     daemon->reload = reload;
     daemon->reload_user = user;
-    daemon->file_changed = change_time(source);
-    g_unix_signal_add(SIGHUP, on_hangup, daemon);
+    daemon->file_changed = settings_file_mtime(source);
+    g_unix_signal_add(SIGHUP, on_sighup, daemon);
     if (daemon->file_changed) {
-        g_timeout_add_seconds(WATCH_SECONDS, on_watch, daemon);
+        g_timeout_add_seconds(WATCH_INTERVAL_SECONDS, on_watch_timer, daemon);
     }
 }
 
@@ -222,7 +225,9 @@
             return codecs[i];
         }
     }
-    fprintf(stderr, "--packets: \"%s\" is no format of packets\n", name->str);
+    fprintf(stderr,
+            "--packets: \"%s\" is not a packet format: use ipv4 or platform\n",
+            name->str);
     return NULL;
 }
 
--- a/programs/daemon/rp_daemon.h
+++ b/programs/daemon/rp_daemon.h
@@ -1,5 +1,5 @@
-/* What the daemon's roles have in common: start-up, the main loop, signals
- * and the exit codes. */
+/* Code shared by the roles of the daemon: start-up, the main loop, signals,
+ * settings and exit codes. */
 #ifndef RP_DAEMON_H
 #define RP_DAEMON_H
 
@@ -11,85 +11,87 @@
 #include "rp_settings.h"
 
 #define RP_EXIT_OK 0
-#define RP_EXIT_FAILED 1   /* a fault at run time */
-#define RP_EXIT_SETTINGS 2 /* bad settings: nothing was started */
+#define RP_EXIT_FAILED 1   /* a failure while starting or running */
+#define RP_EXIT_SETTINGS 2 /* bad settings: the role was not started */
 
-/* Settings that every role has. */
+/* Settings common to all roles. */
 struct rp_common_settings {
     struct rp_name name;
     struct rp_name zone;
-    GString *key_file; /* NULL: the key stands in `key` */
+    GString *key_file; /* NULL: `key` holds the keys */
     GString *key;
     enum rp_log_level log_level;
     struct rp_endpoint admin; /* port 0: no admin page */
 };
 
-/* Rows for a settings table whose target has `member` of the struct above
- * as its common settings. */
+/* Rows of a settings table for the common settings, which are the member
+ * `member` of struct `type`. */
 #define RP_COMMON_SETTINGS(type, member)                                      \
     {.flag = "name",                                                          \
      .kind = RP_SETTING_NAME,                                                 \
      .offset = offsetof(struct type, member.name),                            \
      .value = "NAME",                                                         \
-     .help = "this instance's own name"},                                     \
+     .help = "name of this instance, unique in the system"},                  \
         {.flag = "zone",                                                      \
          .kind = RP_SETTING_NAME,                                             \
          .offset = offsetof(struct type, member.zone),                        \
          .value = "NAME",                                                     \
-         .help = "the data centre it runs in",                                \
+         .help = "data centre of this instance",                              \
          .fallback = "default"},                                              \
         {.flag = "key-file",                                                  \
          .kind = RP_SETTING_TEXT,                                             \
          .offset = offsetof(struct type, member.key_file),                    \
          .value = "FILE",                                                     \
-         .help = "file with the shared keys of the system's processes",       \
+         .help = "file with the keys shared by all processes of the system",  \
          .unless = "key"},                                                    \
         {.flag = "key",                                                       \
          .kind = RP_SETTING_TEXT,                                             \
          .offset = offsetof(struct type, member.key),                         \
          .value = "KEY",                                                      \
-         .help = "the shared key itself, for settings files that only the "   \
-                 "daemon can read",                                           \
+         .help = "the shared keys themselves, for settings files that only "  \
+                 "the daemon can read",                                       \
          .optional = true},                                                   \
         {.flag = "log-level",                                                 \
          .kind = RP_SETTING_LEVEL,                                            \
          .offset = offsetof(struct type, member.log_level),                   \
          .value = "LEVEL",                                                    \
-         .help = "debug, info, warn or error",                                \
+         .help = "lowest level to log: debug, info, warn or error",           \
          .fallback = "info"},                                                 \
     {                                                                         \
         .flag = "admin", .kind = RP_SETTING_ENDPOINT,                         \
         .offset = offsetof(struct type, member.admin), .value = "ADDR:PORT",  \
-        .help = "serve /metrics and /healthz here", .optional = true          \
+        .help = "serve /metrics and /healthz on this address",                \
+        .optional = true                                                      \
     }
 
-/* A row for the format of packets; `member` is a GString pointer. */
+/* A settings row for the packet format; `member` is a GString pointer. */
 #define RP_PACKETS_SETTING(type, member_)                                     \
     {                                                                         \
         .flag = "packets", .kind = RP_SETTING_TEXT,                           \
         .offset = offsetof(struct type, member_), .value = "FORMAT",          \
-        .help = "format of packets: ipv4 (inside Geneve) or platform",        \
+        .help = "packet format: ipv4 (inside Geneve) or platform",            \
         .fallback = "ipv4"                                                    \
     }
 
-/* A row for the port at which all control instances listen for processes of
- * the system, where the addresses in `control` name another one. */
+/* A settings row for the port that all control instances listen on, where it
+ * differs from the ports in the --control setting. */
 #define RP_CONTROL_PORT_SETTING(type, member_)                                \
     {                                                                         \
         .flag = "control-port", .kind = RP_SETTING_UINT,                      \
         .offset = offsetof(struct type, member_), .value = "PORT",            \
-        .help = "in place of the ports in --control; 0: they stand",          \
+        .help = "replaces the ports in --control; 0 keeps them",              \
         .fallback = "0", .max = UINT16_MAX                                    \
     }
 
-/* Called when the process is asked to stop. */
+/* Called on the first request to stop. */
 typedef void (*RpDaemon_Stop)(void *user);
 
-/* Called with settings that were read again, of the same struct as at the
- * start; the callee takes what it can change while it runs. */
+/* Called after the settings were read again, with the same struct type as at
+ * the start. The callee applies the settings that it can change at run
+ * time. */
 typedef void (*RpDaemon_Reload)(void *user, const void *settings);
 
-/* Where a role's settings come from. */
+/* What is needed to read a role's settings again. */
 struct rp_settings_source {
     const struct rp_setting *table;
     size_t count;
@@ -98,7 +100,7 @@
     char **argv;
 };
 
-/* What every role has while it runs. */
+/* State of a running role. */
 struct rp_daemon {
     const char *role_name;
     GMainLoop *loop;
@@ -114,40 +116,44 @@
     struct rp_settings_source source;
     RpDaemon_Reload reload; /* NULL: nothing can change while it runs */
     void *reload_user;
-    int64_t file_changed; /* when the settings file was last changed */
+    int64_t file_changed; /* mtime of the settings file, in microseconds; 0:
+                           * no file */
 };
 
-/* Reads the settings and prints what is wrong with them. True if the role
- * can start; else `*exit_code` is the process's. */
+/* Reads the settings into the zeroed struct at `target` and prints every
+ * finding. Returns true if the role can start; otherwise `*exit_code` is the
+ * exit code for the process. */
 bool RpDaemon_ReadSettings(const struct rp_setting *settings, size_t count,
                            const char *program, const char *usage, int argc,
                            char **argv, void *target, int *exit_code);
 
-/* Prepares log, keys, loop and signals. False (after printing why) if that
- * fails. `stop` is called for SIGTERM and SIGINT. */
+/* Prepares the log, keys, main loop and signal handlers; `stop` is called on
+ * the first SIGTERM or SIGINT. Returns false after printing the error;
+ * `daemon->exit_code` is then set. Free with RpDaemon_End. */
 bool RpDaemon_Start(struct rp_daemon *daemon, enum rp_role role,
                     const struct rp_common_settings *settings,
                     RpDaemon_Stop stop, void *user);
 
-/* From now on settings are read again on SIGHUP and when the file changes.
- * Bad ones are logged and change nothing. */
+/* Reads the settings again on SIGHUP and when the settings file changes. Bad
+ * settings are logged and not applied. */
 void RpDaemon_WatchSettings(struct rp_daemon *daemon,
                             const struct rp_settings_source *source,
                             RpDaemon_Reload reload, void *user);
 
-/* The format of packets of this name; NULL after printing a finding. */
+/* Returns the codec of a packet format, or NULL after printing an error. */
 const struct rp_codec *RpDaemon_FindCodec(const GString *name);
 
-/* Puts `port` in place of each endpoint's own, unless it is 0. */
+/* Sets the port of every endpoint to `port`, unless `port` is 0. */
 void RpDaemon_SetPorts(struct rp_endpoints *endpoints, uint32_t port);
 
-/* Opens the admin page if one is set. */
+/* Opens the admin page if the settings have an address for it. False after
+ * printing the error. */
 bool RpDaemon_OpenAdmin(struct rp_daemon *daemon,
                         const struct rp_common_settings *settings,
                         const struct rp_admin_ops *ops, void *user);
 
-/* Writes one line with all findings, after `pairs` (which may be empty and
- * end in a blank otherwise). */
+/* Logs all findings in one line. `pairs` is empty, or key=value pairs that end
+ * with a space and precede the findings. */
 void RpDaemon_LogFindings(const struct rp_daemon *daemon,
                           enum rp_log_level level, const char *event,
                           const char *pairs, const struct rp_error *error);
@@ -155,16 +161,16 @@
 /* Prints findings to standard error. */
 void RpDaemon_PrintFindings(const struct rp_error *error);
 
-/* Runs until RpDaemon_Quit; returns the exit code. */
+/* Runs the main loop until RpDaemon_Quit; returns the exit code. */
 int RpDaemon_Run(struct rp_daemon *daemon);
 
-/* Ends the main loop. */
+/* Ends the main loop; RpDaemon_Run returns `exit_code`. */
 void RpDaemon_Quit(struct rp_daemon *daemon, int exit_code);
 
-/* Frees what RpDaemon_Start made. */
+/* Frees what RpDaemon_Start and RpDaemon_OpenAdmin created. */
 void RpDaemon_End(struct rp_daemon *daemon);
 
-/* The roles. Each returns the process's exit code. */
+/* Entry points of the roles. Each returns the process's exit code. */
 int RpBalancer_Main(int argc, char **argv);
 int RpAgent_Main(int argc, char **argv);
 int RpControl_Main(int argc, char **argv);
--- a/programs/daemon/rp_uplink.c
+++ b/programs/daemon/rp_uplink.c
@@ -1,32 +1,35 @@
+/* A node's connection to control: subscription, tables and reconnects. */
 #include "rp_uplink.h"
 
 #include <sodium.h>
 
 #include "rp_reconnect.h"
 
-#define FIRST_TABLE_MS 3000 /* then another control instance is tried */
+/* How long to wait for the first table of a connection before another control
+ * instance is tried. */
+#define FIRST_TABLE_TIMEOUT_MS 3000
 
 struct rp_uplink {
     struct rp_daemon *daemon;
-    struct rp_endpoints controls; /* as set */
-    struct rp_endpoints told;     /* as control says */
+    struct rp_endpoints controls;   /* from the settings */
+    struct rp_endpoints advertised; /* from control itself */
     struct rp_name service;
     const struct rp_uplink_ops *ops;
     void *user;
     struct rp_conn *conn;
     bool ready;
-    bool ending;
+    bool freeing;
     size_t next;
     struct rp_reconnect reconnect;
     guint retry_source;
-    guint table_source; /* runs out while the first table is awaited */
+    guint table_source; /* timeout for the first table of a connection */
     struct rp_table *table;
 };
 
 static void connect_next(struct rp_uplink *uplink);
 
 static void
-stop_waiting(struct rp_uplink *uplink)
+stop_table_timeout(struct rp_uplink *uplink)
 {
     if (uplink->table_source) {
         g_source_remove(uplink->table_source);
@@ -34,9 +37,10 @@
     }
 }
 
-/* This control instance gives no table: it may be cut off itself. */
+/* Closes the connection to a control instance that has sent no table in time;
+ * it may be cut off from the others. */
 static gboolean
-on_no_table(gpointer data)
+on_table_timeout(gpointer data)
 {
     struct rp_uplink *uplink = data;
 
@@ -59,7 +63,8 @@
     RpLog_Event(uplink->daemon->log, RP_LOG_INFO, "control_connected",
                 "control=%s", hello->name.data);
     RpConn_Send(conn, &msg);
-    uplink->table_source = g_timeout_add(FIRST_TABLE_MS, on_no_table, uplink);
+    uplink->table_source = g_timeout_add(FIRST_TABLE_TIMEOUT_MS,
+                                         on_table_timeout, uplink);
     uplink->ops->connected(uplink->user);
 }
 
@@ -68,7 +73,7 @@
 {
     struct rp_counters *counters = &uplink->daemon->counters;
 
-    stop_waiting(uplink);
+    stop_table_timeout(uplink);
     if (RpTable_Apply(uplink->table, table) != RP_OK) {
         RpCounters_Add(counters, RP_COUNT_TABLE_STALE);
         RpLog_Event(uplink->daemon->log, RP_LOG_WARN, "table_stale",
@@ -78,7 +83,8 @@
         return;
     }
     RpCounters_Add(counters, RP_COUNT_TABLE_APPLIED);
-    /* Not before: where all instances are empty, each only sends us on. */
+    /* The pauses are reset only now: without a replica that can serve, each
+     * instance accepts the connection and then closes it. */
     RpReconnect_Served(&uplink->reconnect);
     uplink->ops->table_changed(uplink->user);
     const struct rp_msg confirm = {
@@ -91,14 +97,15 @@
 }
 
 static void
-take_controls(struct rp_uplink *uplink, const struct rp_msg_controls *controls)
+store_advertised(struct rp_uplink *uplink,
+                 const struct rp_msg_controls *controls)
 {
-    uplink->told.count = 0;
+    uplink->advertised.count = 0;
     for (guint i = 0; i < controls->list->len && i < RP_ENDPOINTS_MAX; i++) {
         const struct rp_msg_control_address *row = &g_array_index(
             controls->list, struct rp_msg_control_address, i);
-        uplink->told.item[uplink->told.count++] = (struct rp_endpoint){
-            .ip = row->ip, .port = row->port};
+        uplink->advertised.item[uplink->advertised.count++] =
+            (struct rp_endpoint){.ip = row->ip, .port = row->port};
     }
 }
 
@@ -116,7 +123,7 @@
         return;
     }
     if (msg->type == RP_MSG_CONTROLS) {
-        take_controls(uplink, &msg->controls);
+        store_advertised(uplink, &msg->controls);
         return;
     }
     if (msg->type == RP_MSG_ANNOUNCE && uplink->ops->overtaken) {
@@ -147,8 +154,8 @@
 
     uplink->conn = NULL;
     uplink->ready = false;
-    stop_waiting(uplink);
-    if (!uplink->ending) {
+    stop_table_timeout(uplink);
+    if (!uplink->freeing) {
         uplink->retry_source = g_timeout_add(
             RpReconnect_End(&uplink->reconnect, answered, randombytes_uniform),
             on_retry, uplink);
@@ -161,11 +168,13 @@
 static void
 connect_next(struct rp_uplink *uplink)
 {
-    const struct rp_endpoints *told = &uplink->told;
-    size_t place = uplink->next++ % (told->count + uplink->controls.count);
-    struct rp_endpoint to = place < told->count
-                                ? told->item[place]
-                                : uplink->controls.item[place - told->count];
+    const struct rp_endpoints *advertised = &uplink->advertised;
+    size_t index = uplink->next++ %
+                   (advertised->count + uplink->controls.count);
+    struct rp_endpoint to =
+        index < advertised->count
+            ? advertised->item[index]
+            : uplink->controls.item[index - advertised->count];
 
     uplink->conn = RpConn_Open(&uplink->daemon->context, to,
                                RpReconnect_Begin(&uplink->reconnect) *
@@ -212,7 +221,7 @@
     if (!uplink) {
         return;
     }
-    uplink->ending = true;
+    uplink->freeing = true;
     if (uplink->retry_source) {
         g_source_remove(uplink->retry_source);
     }
@@ -237,7 +246,7 @@
 const struct rp_endpoints *
 RpUplink_Controls(const struct rp_uplink *uplink)
 {
-    return &uplink->told;
+    return &uplink->advertised;
 }
 
 const struct rp_table *
--- a/programs/daemon/rp_uplink.h
+++ b/programs/daemon/rp_uplink.h
@@ -1,9 +1,9 @@
-/* A node's connection to control: it keeps a table up to date.
+/* A node's connection to control, which keeps the node's table up to date.
  *
- * The uplink tries the control instances in turn, those of its settings and
- * those that control has told it of, until one answers, asks
- * for the table, applies what comes and confirms each revision. While no
- * control instance answers, the node goes on with the table it has.
+ * The uplink tries the control instances in turn, both those from the settings
+ * and those that control has advertised, until one answers. It then
+ * subscribes, applies the tables that arrive and confirms each revision. While
+ * no control instance answers, the node keeps its last table.
  */
 #ifndef RP_UPLINK_H
 #define RP_UPLINK_H
@@ -14,42 +14,51 @@
 struct rp_uplink;
 
 struct rp_uplink_ops {
+    /* A control instance has accepted the connection. */
     void (*connected)(void *user);
+    /* A table was applied to RpUplink_Table. */
     void (*table_changed)(void *user);
-    /* An operator's order; NULL where none is expected. */
+    /* An operator's order arrived. NULL: orders are unexpected and close the
+     * connection. */
     void (*ordered)(void *user, const struct rp_msg_order *order);
-    /* Control knows a newer announcement of this upstream than the one it
-     * was just sent; NULL where none is expected. */
+    /* Control sent an announcement of this upstream that is newer than the one
+     * it received. NULL: announcements are unexpected and close the
+     * connection. */
     void (*overtaken)(void *user, const struct rp_msg_announce *newer);
 };
 
-/* Takes another list of control instances, as after a change of settings. */
+/* Replaces the control instances from the settings, after these have changed.
+ * An open connection stays. */
 void RpUplink_SetControls(struct rp_uplink *uplink,
                           const struct rp_endpoints *controls);
 
-/* Members in `zone` count `weight` times as much when flows are placed. To
- * be called before the main loop runs. */
+/* Gives members in `zone` `weight` times the weight of others in the placement
+ * of flows. Call it before the main loop runs. */
 void RpUplink_PreferZone(struct rp_uplink *uplink, const struct rp_name *zone,
                          uint32_t weight);
 
-/* `service` is empty for all services. Everything passed is borrowed. */
+/* Creates an uplink and starts to connect. `service` is the service to
+ * subscribe to, or empty for all. `daemon`, `ops` and `user` are borrowed, the
+ * rest is copied. Free with RpUplink_Free. */
 struct rp_uplink *RpUplink_Create(struct rp_daemon *daemon,
                                   const struct rp_endpoints *controls,
                                   const struct rp_name *service,
                                   const struct rp_uplink_ops *ops, void *user);
 
+/* Closes the connection, waits until it is closed and frees the uplink. */
 void RpUplink_Free(struct rp_uplink *uplink);
 
-/* Sends a message if there is a connection; it is dropped otherwise. */
+/* Sends a message, or drops it if no control instance is connected. */
 void RpUplink_Send(struct rp_uplink *uplink, const struct rp_msg *msg);
 
-/* Where control is as it says itself; empty before the first answer. */
+/* The addresses that control has advertised; empty until it has sent them. */
 const struct rp_endpoints *RpUplink_Controls(const struct rp_uplink *uplink);
 
-/* The table so far. */
+/* The current table; revision 0 until the first one arrives. */
 const struct rp_table *RpUplink_Table(const struct rp_uplink *uplink);
 
-/* Whether a control instance is connected, and bytes it has not taken. */
+/* Whether a control instance is connected, and the number of bytes that it has
+ * not received yet. */
 bool RpUplink_IsConnected(const struct rp_uplink *uplink);
 size_t RpUplink_Queued(const struct rp_uplink *uplink);
 
