--- a/programs/shared/rp_admin.c
+++ b/programs/shared/rp_admin.c
@@ -1,3 +1,4 @@
+/* The handlers of /metrics and /healthz. */
 #include "rp_admin.h"
 
 #include "rp_http.h"
--- a/programs/shared/rp_admin.h
+++ b/programs/shared/rp_admin.h
@@ -1,5 +1,5 @@
-/* The admin page of a process: /metrics in the Prometheus text format and
- * /healthz, over HTTP. */
+/* Serves the admin pages of a process over HTTP: /metrics in the Prometheus
+ * text format, and /healthz. */
 #ifndef RP_ADMIN_H
 #define RP_ADMIN_H
 
@@ -11,20 +11,24 @@
 
 struct rp_admin;
 
-/* What a process shows besides its counters. */
+/* Callbacks that add a role's own data to the admin pages. */
 struct rp_admin_ops {
-    /* Whether the process can do its job now; adds one line on why. */
+    /* Returns whether the process can serve now, and appends the reason as one
+     * line. */
     bool (*healthy)(void *user, GString *why);
-    /* Adds gauges, a "name value" pair a line, names without prefix. */
+    /* Appends one "name value" line for each gauge, without the metric
+     * prefix. */
     void (*gauges)(void *user, GString *out);
 };
 
-/* Starts serving; NULL with a finding on failure. */
+/* Starts the HTTP server. All pointers but `error` are borrowed until
+ * RpAdmin_Close. Returns NULL and adds a finding on failure. */
 struct rp_admin *RpAdmin_Open(struct rp_endpoint listen, const char *role,
                               const struct rp_counters *counters,
                               const struct rp_admin_ops *ops, void *user,
                               struct rp_error *error);
 
+/* Stops the server. NULL does nothing. */
 void RpAdmin_Close(struct rp_admin *admin);
 
 #endif
--- a/programs/shared/rp_clock.h
+++ b/programs/shared/rp_clock.h
@@ -1,6 +1,9 @@
-/* The clock of deadlines, leases and ages: microseconds that go on while the
- * machine is suspended, so that what was learned before counts as old after
- * it. Never stepped; unrelated to the time of day. */
+/* The clock for deadlines, leases and ages, in microseconds.
+ *
+ * It is never set back and is unrelated to the wall clock. It continues while
+ * the machine is suspended, so that data from before a suspension counts as
+ * old after it.
+ */
 #ifndef RP_CLOCK_H
 #define RP_CLOCK_H
 
@@ -9,6 +12,7 @@
 
 #include "rp_time.h"
 
+/* Returns the current time of this clock, in microseconds. */
 static inline int64_t
 RpClock_Now(void)
 {
--- a/programs/shared/rp_conn.c
+++ b/programs/shared/rp_conn.c
@@ -1,3 +1,4 @@
+/* Connections: reading, writing, pings, timeouts and the hello exchange. */
 #include "rp_conn.h"
 #include "rp_clock.h"
 
@@ -5,7 +6,9 @@
 #include <sodium.h>
 #include <string.h>
 
-#define READ_SIZE 8192 /* bytes; an instance may hold thousands of these */
+/* Size of a receive buffer, in bytes. A control instance may have thousands of
+ * them. */
+#define READ_SIZE 8192
 #define TICK_MS 250
 
 struct rp_conn {
@@ -18,20 +21,21 @@
     bool hello_sent;
     bool ready;
     bool closing;
-    unsigned operations; /* asynchronous calls under way */
+    unsigned operations; /* asynchronous calls that have not completed */
     GSocketConnection *stream;
     GCancellable *cancellable;
     struct rp_session *session;
     struct rp_msg_hello peer;
-    GString *output;
-    GString *writing;
-    GQueue waiting; /* of encoded messages, as GString */
+    GString *output;  /* frames that wait to be written */
+    GString *writing; /* frames that are being written */
+    GQueue unsent;    /* messages queued before the hellos, encoded, as
+                       * GString */
     char *input;
     guint tick_source;
-    guint connect_source; /* runs out while the peer's hello is awaited */
+    guint connect_source; /* timeout for the peer's hello */
     int64_t silence_deadline;
     int64_t ping_deadline;
-    uint64_t pings;
+    uint64_t pings; /* sent */
 };
 
 static void start_read(struct rp_conn *conn);
@@ -45,14 +49,15 @@
 }
 
 static void
-free_string(gpointer data)
+free_encoded(gpointer data)
 {
     g_string_free(data, TRUE);
 }
 
-/* Frees the connection once nothing refers to it any more. */
+/* Tells the owner and frees the connection, once it is closing and no
+ * asynchronous call is under way. */
 static void
-finish_if_done(struct rp_conn *conn)
+free_if_idle(struct rp_conn *conn)
 {
     if (!conn->closing || conn->operations) {
         return;
@@ -66,18 +71,18 @@
     RpSession_Free(conn->session);
     g_string_free(conn->output, TRUE);
     g_string_free(conn->writing, TRUE);
-    g_queue_clear_full(&conn->waiting, free_string);
+    g_queue_clear_full(&conn->unsent, free_encoded);
     g_free(conn->input);
     g_free(conn);
 }
 
 static gboolean
-finish_later(gpointer data)
+on_close_idle(gpointer data)
 {
     struct rp_conn *conn = data;
 
     conn->operations--;
-    finish_if_done(conn);
+    free_if_idle(conn);
     return G_SOURCE_REMOVE;
 }
 
@@ -104,11 +109,11 @@
     stop_connect_timer(conn);
     g_cancellable_cancel(conn->cancellable);
     conn->operations++;
-    g_idle_add(finish_later, conn);
+    g_idle_add(on_close_idle, conn);
 }
 
 static void
-fail(struct rp_conn *conn, enum rp_counter reason)
+close_with_reason(struct rp_conn *conn, enum rp_counter reason)
 {
     if (conn->closing) {
         return;
@@ -130,14 +135,14 @@
     gsize written = 0;
 
     conn->operations--;
-    gboolean good = g_output_stream_write_all_finish(G_OUTPUT_STREAM(source),
-                                                     result, &written, NULL);
+    gboolean complete = g_output_stream_write_all_finish(
+        G_OUTPUT_STREAM(source), result, &written, NULL);
     g_string_truncate(conn->writing, 0);
-    if (!good) {
+    if (!complete) {
         RpConn_Close(conn);
     }
     if (conn->closing) {
-        finish_if_done(conn);
+        free_if_idle(conn);
         return;
     }
     start_write(conn);
@@ -166,7 +171,7 @@
     RpCounters_Add(conn->context->counters, RP_COUNT_FRAMES_OUT);
     conn->ping_deadline = RpClock_Now() + RP_CONN_PING_US;
     if (conn->output->len + conn->writing->len > RP_CONN_QUEUE_MAX) {
-        fail(conn, RP_COUNT_PEER_TOO_SLOW);
+        close_with_reason(conn, RP_COUNT_PEER_TOO_SLOW);
         return;
     }
     start_write(conn);
@@ -182,14 +187,14 @@
     send_now(conn, &msg);
 }
 
-/* Sends what was queued before both hellos were exchanged. */
+/* Sends the messages that were queued before both hellos were exchanged. */
 static void
-send_waiting(struct rp_conn *conn)
+send_unsent(struct rp_conn *conn)
 {
     GString *encoded;
 
     while (!conn->closing &&
-           (encoded = g_queue_pop_head(&conn->waiting)) != NULL) {
+           (encoded = g_queue_pop_head(&conn->unsent)) != NULL) {
         struct rp_msg msg;
         struct rp_str bytes = {.data = encoded->str, .len = encoded->len};
         if (RpMsg_Decode(bytes, &msg)) {
@@ -212,7 +217,7 @@
     }
     GString *encoded = g_string_new(NULL);
     RpMsg_Encode(msg, encoded);
-    g_queue_push_tail(&conn->waiting, encoded);
+    g_queue_push_tail(&conn->unsent, encoded);
 }
 
 static void
@@ -220,7 +225,7 @@
 {
     if (msg->hello.version != RP_PROTOCOL_VERSION ||
         msg->hello.role == RP_ROLE_NONE || msg->hello.role >= RP_ROLE_COUNT) {
-        fail(conn, RP_COUNT_FRAME_UNEXPECTED);
+        close_with_reason(conn, RP_COUNT_FRAME_UNEXPECTED);
         return;
     }
     conn->hello_seen = true;
@@ -230,15 +235,16 @@
         send_hello(conn);
     }
     if (conn->opened_by_us) {
-        /* The peer waits for a first frame that covers its nonce. */
+        /* The peer accepts this side only after a frame whose MAC covers the
+         * peer's nonce, so one is sent at once. */
         const struct rp_msg ping = {.type = RP_MSG_PING};
         send_now(conn, &ping);
     }
-    send_waiting(conn);
+    send_unsent(conn);
 }
 
 static void
-become_ready(struct rp_conn *conn)
+report_authenticated(struct rp_conn *conn)
 {
     if (!conn->ready && RpSession_IsAuthenticated(conn->session)) {
         conn->ready = true;
@@ -255,7 +261,7 @@
         on_hello(conn, msg);
     }
     if (!conn->closing) {
-        become_ready(conn);
+        report_authenticated(conn);
     }
     if (!conn->closing && msg->type != RP_MSG_HELLO &&
         msg->type != RP_MSG_PING) {
@@ -264,7 +270,7 @@
 }
 
 static void
-take_messages(struct rp_conn *conn)
+process_messages(struct rp_conn *conn)
 {
     while (!conn->closing) {
         struct rp_msg msg;
@@ -273,7 +279,7 @@
                                                        &reason);
 
         if (result == RP_SESSION_FAILED) {
-            fail(conn, reason);
+            close_with_reason(conn, reason);
             return;
         }
         if (result == RP_SESSION_WAIT) {
@@ -288,21 +294,21 @@
 on_read(GObject *source, GAsyncResult *result, gpointer data)
 {
     struct rp_conn *conn = data;
-    gssize got = g_input_stream_read_finish(G_INPUT_STREAM(source), result,
-                                            NULL);
+    gssize received = g_input_stream_read_finish(G_INPUT_STREAM(source),
+                                                 result, NULL);
 
     conn->operations--;
-    if (got <= 0) {
+    if (received <= 0) {
         RpConn_Close(conn);
     }
     if (conn->closing) {
-        finish_if_done(conn);
+        free_if_idle(conn);
         return;
     }
     conn->silence_deadline = RpClock_Now() + RP_CONN_SILENCE_US;
     RpSession_Receive(conn->session, (struct rp_str){.data = conn->input,
-                                                     .len = (size_t)got});
-    take_messages(conn);
+                                                     .len = (size_t)received});
+    process_messages(conn);
     if (!conn->closing) {
         start_read(conn);
     }
@@ -325,7 +331,7 @@
 
     if (now >= conn->silence_deadline) {
         conn->tick_source = 0;
-        fail(conn, RP_COUNT_PEER_TIMEOUT);
+        close_with_reason(conn, RP_COUNT_PEER_TIMEOUT);
         return G_SOURCE_REMOVE;
     }
     if (conn->ready && now >= conn->ping_deadline) {
@@ -337,8 +343,8 @@
 }
 
 static struct rp_conn *
-create(const struct rp_conn_context *context, bool opened_by_us,
-       const struct rp_conn_ops *ops, void *user)
+create_conn(const struct rp_conn_context *context, bool opened_by_us,
+            const struct rp_conn_ops *ops, void *user)
 {
     struct rp_conn *conn = g_new0(struct rp_conn, 1);
     uint8_t nonce[RP_NONCE_SIZE];
@@ -356,18 +362,21 @@
     conn->input = g_malloc(READ_SIZE);
     conn->silence_deadline = RpClock_Now() + RP_CONN_SILENCE_US;
     conn->tick_source = g_timeout_add(TICK_MS, on_tick, conn);
-    g_queue_init(&conn->waiting);
+    g_queue_init(&conn->unsent);
     return conn;
 }
 
-/* Unsent data must not keep a dead connection alive for long. */
+/* Sets the socket's options. TCP_USER_TIMEOUT closes a connection whose peer
+ * acknowledges nothing for RP_CONN_SILENCE_US, since unsent data would
+ * otherwise keep it open. */
 static void
 set_socket_options(GSocketConnection *stream)
 {
     GSocket *socket = g_socket_connection_get_socket(stream);
     int timeout_ms = (int)(RP_CONN_SILENCE_US / RP_US_PER_MS);
 
-    /* The timeout of connecting must not stay on for reading. */
+    /* A timeout left on the socket from connecting would also apply to
+     * reads. */
     g_socket_set_timeout(socket, 0);
     g_socket_set_option(socket, IPPROTO_TCP, TCP_NODELAY, 1, NULL);
     g_socket_set_option(socket, IPPROTO_TCP, TCP_USER_TIMEOUT, timeout_ms,
@@ -380,7 +389,7 @@
     struct rp_conn *conn = data;
 
     conn->connect_source = 0;
-    fail(conn, RP_COUNT_PEER_UNREACHABLE);
+    close_with_reason(conn, RP_COUNT_PEER_UNREACHABLE);
     return G_SOURCE_REMOVE;
 }
 
@@ -396,7 +405,7 @@
         RpConn_Close(conn);
     }
     if (conn->closing) {
-        finish_if_done(conn);
+        free_if_idle(conn);
         return;
     }
     set_socket_options(conn->stream);
@@ -408,16 +417,16 @@
 
 struct rp_conn *
 RpConn_Open(const struct rp_conn_context *context, struct rp_endpoint to,
-            int64_t patience_us, const struct rp_conn_ops *ops, void *user)
+            int64_t timeout_us, const struct rp_conn_ops *ops, void *user)
 {
-    struct rp_conn *conn = create(context, true, ops, user);
+    struct rp_conn *conn = create_conn(context, true, ops, user);
     char ip[RP_ENDPOINT_TEXT_MAX];
     GSocketClient *client = g_socket_client_new();
     GSocketAddress *address = g_inet_socket_address_new_from_string(
         RpIp_Format(to.ip, ip), to.port);
 
     g_socket_client_set_enable_proxy(client, FALSE);
-    conn->connect_source = g_timeout_add((guint)(patience_us / RP_US_PER_MS),
+    conn->connect_source = g_timeout_add((guint)(timeout_us / RP_US_PER_MS),
                                          on_connect_timeout, conn);
     conn->operations++;
     g_socket_client_connect_async(client, G_SOCKET_CONNECTABLE(address),
@@ -431,7 +440,7 @@
 RpConn_Accept(const struct rp_conn_context *context, GSocketConnection *stream,
               const struct rp_conn_ops *ops, void *user)
 {
-    struct rp_conn *conn = create(context, false, ops, user);
+    struct rp_conn *conn = create_conn(context, false, ops, user);
 
     conn->stream = g_object_ref(stream);
     set_socket_options(stream);
--- a/programs/shared/rp_conn.h
+++ b/programs/shared/rp_conn.h
@@ -1,9 +1,10 @@
 /* A framed, authenticated TCP connection on the main loop.
  *
- * Carries the session of rp_session.h over GIO. Sends a ping when nothing
- * else was sent for RP_CONN_PING_US and ends the connection when nothing
- * came for RP_CONN_SILENCE_US, so that a frozen or cut-off peer is noticed.
- * A peer that does not take its messages is cut off at RP_CONN_QUEUE_MAX.
+ * Carries the session of rp_session.h over GIO. It sends a ping when nothing
+ * else was sent for RP_CONN_PING_US and closes when nothing was received for
+ * RP_CONN_SILENCE_US, so that a frozen or unreachable peer is detected. It
+ * also closes when more than RP_CONN_QUEUE_MAX bytes wait to be received by
+ * the peer.
  */
 #ifndef RP_CONN_H
 #define RP_CONN_H
@@ -15,64 +16,72 @@
 #include "rp_session.h"
 #include "rp_time.h"
 
-/* A change must be in force everywhere 3 s after it was acknowledged. A node
- * whose control instance has just frozen needs one silence, one retry, one
- * failed attempt and one table for that: see test_budget.c. */
+/* A change must be in force on every node 3 s after it was acknowledged. A
+ * node whose control instance has just frozen needs one silence timeout, one
+ * pause, one failed attempt to connect and one table for that: see
+ * test_budget.c. */
 #define RP_CONN_PING_US (400 * RP_US_PER_MS)
 #define RP_CONN_SILENCE_US (1200 * RP_US_PER_MS)
-/* The longest that an attempt to connect waits for the peer's hello. A
- * machine without power does not answer, and its system repeats the attempt
- * only after a second; a frozen process is connected to by its system and
- * then says nothing. The farthest regions answer within 300 ms. */
+/* Longest wait for the peer's hello during an attempt to connect. A machine
+ * without power does not answer, and the kernel repeats the first packet only
+ * after a second, so the attempt is given up before. The kernel of a frozen
+ * process accepts the connection, but no hello follows. The farthest regions
+ * answer within 300 ms. */
 #define RP_CONN_CONNECT_US (400 * RP_US_PER_MS)
-#define RP_CONN_QUEUE_MAX (32u << 20) /* bytes not yet taken by the peer */
+/* Bytes that may be queued for a peer. */
+#define RP_CONN_QUEUE_MAX (32u << 20)
 
 struct rp_conn;
 
-/* What the owner of a connection is told. `closed` is the last call; the
+/* Callbacks to the owner of a connection. `closed` is the last one; the
  * connection frees itself after it. */
 struct rp_conn_ops {
-    /* The peer is authenticated; `hello` is what it says of itself. */
+    /* The peer is authenticated; `hello` is the hello that it sent. */
     void (*ready)(void *user, struct rp_conn *conn,
                   const struct rp_msg_hello *hello);
-    /* A message other than hello and ping. The callee may take parts out
-     * of it; it is cleared afterwards. */
+    /* A message other than hello and ping arrived. The callee may take parts
+     * out of it; it is cleared afterwards. */
     void (*message)(void *user, struct rp_conn *conn, struct rp_msg *msg);
+    /* The connection could not be opened or has ended. */
     void (*closed)(void *user, struct rp_conn *conn);
 };
 
-/* What all connections of a process share. */
+/* State that all connections of a process share. */
 struct rp_conn_context {
     const struct rp_keyring *keyring;
-    struct rp_msg_hello hello; /* what this process says of itself */
+    struct rp_msg_hello hello; /* the hello that this process sends */
     struct rp_counters *counters;
     struct rp_log *log;
 };
 
-/* Opens a connection; both outcomes are told through `ops`. It ends unless
- * the peer has said hello after `patience_us`. */
+/* Opens a connection. The result is reported through `ops`: `ready` on
+ * success, `closed` on failure or if the peer's hello has not arrived after
+ * `timeout_us` microseconds. `context`, `ops` and `user` are borrowed until
+ * `closed`. */
 struct rp_conn *RpConn_Open(const struct rp_conn_context *context,
-                            struct rp_endpoint to, int64_t patience_us,
+                            struct rp_endpoint to, int64_t timeout_us,
                             const struct rp_conn_ops *ops, void *user);
 
-/* Takes over an accepted connection. */
+/* Starts a session on an accepted connection and keeps a reference to it. The
+ * rest is as for RpConn_Open. */
 struct rp_conn *RpConn_Accept(const struct rp_conn_context *context,
                               GSocketConnection *stream,
                               const struct rp_conn_ops *ops, void *user);
 
-/* Sends a message; before the connection is ready it waits its turn. */
+/* Queues a message for sending. Messages sent before the peer's hello has
+ * arrived are sent after it, in order. */
 void RpConn_Send(struct rp_conn *conn, const struct rp_msg *msg);
 
-/* Ends the connection; `closed` is called from the main loop. */
+/* Closes the connection. `closed` is called later, from the main loop. */
 void RpConn_Close(struct rp_conn *conn);
 
-/* A number that no other connection of this process has. */
+/* Returns the connection's number, which is unique in this process. */
 uint64_t RpConn_Number(const struct rp_conn *conn);
 
-/* The IPv4 address of the other side, host order; 0 if it is not known. */
+/* Returns the peer's IPv4 address in host byte order; 0 if unknown. */
 uint32_t RpConn_PeerIp(const struct rp_conn *conn);
 
-/* Bytes that the peer has not taken yet. */
+/* Returns the number of bytes queued for sending. */
 size_t RpConn_Queued(const struct rp_conn *conn);
 
 #endif
--- a/programs/shared/rp_keyfile.c
+++ b/programs/shared/rp_keyfile.c
@@ -1,3 +1,4 @@
+/* Reading, checking and erasing shared keys. */
 #include "rp_keyfile.h"
 
 #include <errno.h>
@@ -19,7 +20,7 @@
     }
     if (status.st_mode & FORBIDDEN_MODE) {
         return RpError_Add(error, RP_ERR_SETTING, path,
-                           "must be readable by its owner only (mode 0600)");
+                           "must be accessible to its owner only (mode 0600)");
     }
     return RP_OK;
 }
@@ -33,12 +34,12 @@
     }
     if (keyring->count == G_N_ELEMENTS(keyring->key)) {
         return RpError_Add(error, RP_ERR_SETTING, path,
-                           "holds more than two keys");
+                           "contains more than two keys");
     }
     if (line.len < RP_KEY_MIN || line.len > RP_KEY_MAX) {
         return RpError_Add(error, RP_ERR_SETTING, path,
-                           "a key must have %d to %d bytes", RP_KEY_MIN,
-                           RP_KEY_MAX);
+                           "contains a key that is not %d to %d bytes long",
+                           RP_KEY_MIN, RP_KEY_MAX);
     }
     keyring->key[keyring->count++] = (struct rp_str){
         .data = g_strndup(line.data, line.len), .len = line.len};
@@ -59,7 +60,7 @@
         text = rest;
     }
     if (code == RP_OK && keyring->count == 0) {
-        code = RpError_Add(error, RP_ERR_SETTING, place, "holds no key");
+        code = RpError_Add(error, RP_ERR_SETTING, place, "contains no key");
     }
     return code;
 }
--- a/programs/shared/rp_reconnect.c
+++ b/programs/shared/rp_reconnect.c
@@ -1,10 +1,11 @@
+/* Growth and random spread of the timeouts and pauses of reconnects. */
 #include "rp_reconnect.h"
 
 #include <glib.h>
 
 #include "rp_conn.h"
 
-#define PATIENCE_MAX_MS ((uint32_t)(RP_CONN_CONNECT_US / RP_US_PER_MS))
+#define TIMEOUT_MAX_MS ((uint32_t)(RP_CONN_CONNECT_US / RP_US_PER_MS))
 
 void
 RpReconnect_Init(struct rp_reconnect *reconnect)
@@ -17,29 +18,31 @@
 uint32_t
 RpReconnect_Begin(struct rp_reconnect *reconnect)
 {
-    uint32_t patience = reconnect->patience_ms;
+    uint32_t timeout = reconnect->patience_ms;
 
-    reconnect->patience_ms = MIN(patience * 2, PATIENCE_MAX_MS);
-    return patience;
+    reconnect->patience_ms = MIN(timeout * 2, TIMEOUT_MAX_MS);
+    return timeout;
 }
 
-/* A random half to one and a half: many nodes lose an instance at once. */
+/* Returns a random pause from half to one and a half times `pause_ms`, because
+ * many nodes lose the same instance at the same moment. */
 static uint32_t
-spread(uint32_t pause_ms, uint32_t (*dice)(uint32_t upper_bound))
+randomise_pause(uint32_t pause_ms,
+                uint32_t (*random_below)(uint32_t upper_bound))
 {
-    return pause_ms / 2 + dice(pause_ms + 1);
+    return pause_ms / 2 + random_below(pause_ms + 1);
 }
 
 uint32_t
 RpReconnect_End(struct rp_reconnect *reconnect, bool answered,
-                uint32_t (*dice)(uint32_t upper_bound))
+                uint32_t (*random_below)(uint32_t upper_bound))
 {
     if (!answered) {
-        return spread(RP_RECONNECT_PAUSE_MIN_MS, dice);
+        return randomise_pause(RP_RECONNECT_PAUSE_MIN_MS, random_below);
     }
     uint32_t pause = reconnect->pause_ms;
     reconnect->pause_ms = MIN(pause * 2, RP_RECONNECT_PAUSE_MAX_MS);
-    return spread(pause, dice);
+    return randomise_pause(pause, random_below);
 }
 
 void
--- a/programs/shared/rp_reconnect.h
+++ b/programs/shared/rp_reconnect.h
@@ -1,13 +1,14 @@
-/* How long a node tries one control instance, and how long it pauses before
- * it tries the next.
+/* Timeouts and pauses with which a node reconnects to control.
  *
- * An instance whose machine has no power does not answer at all, and the
- * node's system repeats the first packet only after a second: so the first
- * attempts are short, for nearby instances, and later ones as long as the
- * farthest instance needs. An instance that answered but gave no table may be
- * pressed by many nodes: pauses after it grow. One that did not answer is not
- * pressed: pauses after it stay short, and a node is back soon after the
- * power is.
+ * A machine without power does not answer at all, and the kernel of the node
+ * repeats the first packet only after a second. So the first attempts have a
+ * short timeout, enough for nearby instances, and the timeout grows to what
+ * the farthest instance needs.
+ *
+ * An instance that accepted the connection but sent no table may be overloaded
+ * by many nodes, so the pauses after it grow. An instance that did not answer
+ * is not loaded by attempts, so the pauses after it stay short and a node
+ * reconnects soon after the power is back.
  */
 #ifndef RP_RECONNECT_H
 #define RP_RECONNECT_H
@@ -15,32 +16,35 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Pauses between attempts, of which a random half to one and a half is
- * waited. */
+/* Bounds of the pause between attempts. The actual pause is random, from half
+ * to one and a half times this. */
 #define RP_RECONNECT_PAUSE_MIN_MS 100
 #define RP_RECONNECT_PAUSE_MAX_MS 800
-/* The first attempt: a connection and a hello between nearer regions (30 ms
- * there and back, twice) on a machine that has just started. The last is
- * RP_CONN_CONNECT_US, what the farthest need. */
+/* Timeout of the first attempt: enough for a TCP connection and a hello
+ * between nearer regions (two round trips of 30 ms) with a machine that has
+ * just started. The longest timeout is RP_CONN_CONNECT_US, which the farthest
+ * regions need. */
 #define RP_RECONNECT_PATIENCE_MIN_MS 100
 
 struct rp_reconnect {
-    uint32_t patience_ms; /* of the next attempt */
-    uint32_t pause_ms;    /* after the next one that was answered */
+    uint32_t patience_ms; /* timeout of the next attempt */
+    uint32_t pause_ms;    /* pause after the next attempt that is answered */
 };
 
+/* Starts with the shortest timeout and pause. */
 void RpReconnect_Init(struct rp_reconnect *reconnect);
 
-/* How long the attempt that begins now may take, in milliseconds. */
+/* Returns the timeout of the attempt that begins now, in milliseconds. */
 uint32_t RpReconnect_Begin(struct rp_reconnect *reconnect);
 
-/* The attempt, or the connection, has ended; `answered`: the instance had
- * said hello. Returns the pause before the next, in milliseconds; `dice` gives
- * a random number below its argument, as randombytes_uniform. */
+/* Returns the pause after a failed attempt or an ended connection, in
+ * milliseconds. `answered` says whether the instance had sent its hello;
+ * `random_below` returns a random number below its argument, as
+ * randombytes_uniform does. */
 uint32_t RpReconnect_End(struct rp_reconnect *reconnect, bool answered,
-                         uint32_t (*dice)(uint32_t upper_bound));
+                         uint32_t (*random_below)(uint32_t upper_bound));
 
-/* A table has come: the next failure is a first one. */
+/* Resets timeout and pause to the shortest, after a table has arrived. */
 void RpReconnect_Served(struct rp_reconnect *reconnect);
 
 #endif
--- a/programs/shared/rp_settings.c
+++ b/programs/shared/rp_settings.c
@@ -1,3 +1,4 @@
+/* Reading settings: lookup order, parsing of values and findings. */
 #include "rp_settings.h"
 
 #include <argtable2.h>
@@ -10,8 +11,8 @@
 #define FILE_VARIABLE "RADISHPORT_SETTINGS"
 #define FILE_GROUP "radishport"
 
-/* argtable's view of a settings table: the settings first, then help,
- * version and the end marker. */
+/* Argument table for argtable: the settings first, then the settings file,
+ * help, version and the end marker. */
 struct arguments {
     void *table[MAX_SETTINGS + 4];
     struct arg_str *file;
@@ -49,7 +50,7 @@
                                    setting->help);
     }
     arguments->file = arg_str0(NULL, FILE_FLAG, "FILE",
-                               "read settings from this key file");
+                               "read settings from this file");
     arguments->help = arg_lit0("h", "help", "print this help and exit");
     arguments->version = arg_lit0("V", "version",
                                   "print the version and exit");
@@ -69,12 +70,12 @@
     arg_print_syntax(stdout, (void **)arguments->table, "\n\n");
     printf("%s\n\n", usage);
     arg_print_glossary(stdout, (void **)arguments->table, "  %-28s %s\n");
-    printf("\nEach flag can be set as an environment variable instead: "
-           "--some-flag is RADISHPORT_SOME_FLAG;\nor as a line some-flag = "
-           "value below [radishport] in the settings file.\n");
+    printf("\nInstead of a flag --some-flag, you can set the environment "
+           "variable RADISHPORT_SOME_FLAG,\nor a line some-flag = value "
+           "below [radishport] in the settings file.\n");
 }
 
-/* Turns argtable's own complaints into findings, a line each. */
+/* Adds each error that argtable reports as a finding. */
 static void
 collect_parse_errors(const struct arguments *arguments, const char *program,
                      struct rp_error *error)
@@ -111,7 +112,8 @@
     return endpoints->count > 0;
 }
 
-/* An empty value is off, as in an environment variable that is empty. */
+/* Parses a switch. An empty value is off, because an environment variable may
+ * be empty. */
 static bool
 parse_switch(const char *value, bool *on)
 {
@@ -120,8 +122,8 @@
 }
 
 static enum rp_code
-store(const struct rp_setting *setting, const char *place, const char *value,
-      void *member, struct rp_error *error)
+parse_value(const struct rp_setting *setting, const char *place,
+            const char *value, void *member, struct rp_error *error)
 {
     struct rp_str text = RpStr_FromC(value);
     uint64_t number;
@@ -134,10 +136,11 @@
         if (RpName_IsLabel(text) && RpName_Set(member, text)) {
             return RP_OK;
         }
-        return RpError_Add(error, RP_ERR_SETTING, place,
-                           "\"%s\" is not a name of a-z, 0-9 and inner "
-                           "hyphens",
-                           value);
+        return RpError_Add(
+            error, RP_ERR_SETTING, place,
+            "\"%s\" is not a valid name: only a-z, 0-9 and inner "
+            "hyphens are allowed",
+            value);
     case RP_SETTING_ENDPOINT:
         if (RpEndpoint_Parse(text, member)) {
             return RP_OK;
@@ -177,10 +180,10 @@
     return RP_OK;
 }
 
-/* What the settings file says of a setting; an empty value counts as none.
- * Free it. */
+/* Returns the value of a setting in the settings file, or NULL if it is
+ * missing or empty. Free it with g_free. */
 static gchar *
-value_in_file(GKeyFile *file, const struct rp_setting *setting)
+find_file_value(GKeyFile *file, const struct rp_setting *setting)
 {
     gchar *value = file && setting->flag
                        ? g_key_file_get_string(file, FILE_GROUP, setting->flag,
@@ -194,11 +197,12 @@
     return value;
 }
 
-/* What a setting is given, and where: by flag, variable, file or default.
- * Free both; the value is NULL if there is none. */
+/* Returns the value of a setting, from its flag, variable, file or default, or
+ * NULL if it has none. `*place` names the source for findings. Free both with
+ * g_free. */
 static gchar *
-value_of(const struct rp_setting *setting, void *argument, GKeyFile *file,
-         gchar **place)
+find_value(const struct rp_setting *setting, void *argument, GKeyFile *file,
+           gchar **place)
 {
     gchar *variable = variable_name(setting->flag);
     gchar *value = NULL;
@@ -216,7 +220,7 @@
         g_free(*place);
         *place = g_strdup(variable);
     }
-    if (!value && (value = value_in_file(file, setting)) != NULL) {
+    if (!value && (value = find_file_value(file, setting)) != NULL) {
         g_free(*place);
         *place = g_strdup_printf("settings file: %s", setting->flag);
     }
@@ -224,18 +228,18 @@
     return value ? value : g_strdup(setting->fallback);
 }
 
-/* Whether the setting of this name is given somewhere. */
+/* Returns whether the setting with this flag has a value. */
 static bool
-is_given(const struct arguments *arguments, const struct rp_setting *settings,
-         GKeyFile *file, const char *flag)
+has_value(const struct arguments *arguments, const struct rp_setting *settings,
+          GKeyFile *file, const char *flag)
 {
     bool given = false;
 
     for (size_t i = 0; flag && i < arguments->count; i++) {
         if (settings[i].flag && !strcmp(settings[i].flag, flag)) {
             gchar *place;
-            gchar *value = value_of(&settings[i], arguments->table[i], file,
-                                    &place);
+            gchar *value = find_value(&settings[i], arguments->table[i], file,
+                                      &place);
             given = value != NULL;
             g_free(value);
             g_free(place);
@@ -245,18 +249,20 @@
 }
 
 static void
-read_one(const struct arguments *arguments, const struct rp_setting *settings,
-         size_t index, GKeyFile *file, void *target, struct rp_error *error)
+read_setting(const struct arguments *arguments,
+             const struct rp_setting *settings, size_t index, GKeyFile *file,
+             void *target, struct rp_error *error)
 {
     const struct rp_setting *setting = &settings[index];
     gchar *place;
-    gchar *value = value_of(setting, arguments->table[index], file, &place);
+    gchar *value = find_value(setting, arguments->table[index], file, &place);
 
     if (value) {
-        store(setting, place, value, (char *)target + setting->offset, error);
+        parse_value(setting, place, value, (char *)target + setting->offset,
+                    error);
     }
     else if (!setting->optional && setting->kind != RP_SETTING_SWITCH &&
-             !is_given(arguments, settings, file, setting->unless)) {
+             !has_value(arguments, settings, file, setting->unless)) {
         gchar *variable = variable_name(setting->flag);
         RpError_Add(error, RP_ERR_SETTING, place, "is required%s%s",
                     variable ? ", or set " : "", variable ? variable : "");
@@ -266,10 +272,10 @@
     g_free(place);
 }
 
-/* Names in the file that are no setting are findings, too. */
+/* Adds a finding for each unknown group or key in the settings file. */
 static void
-check_names(GKeyFile *file, const struct rp_setting *settings, size_t count,
-            struct rp_error *error)
+check_file_names(GKeyFile *file, const struct rp_setting *settings,
+                 size_t count, struct rp_error *error)
 {
     gchar **groups = g_key_file_get_groups(file, NULL);
     gchar **keys = g_key_file_get_keys(file, FILE_GROUP, NULL, NULL);
@@ -295,31 +301,31 @@
     g_strfreev(keys);
 }
 
-/* Reads the settings file; NULL if there is none, or if it cannot be read,
- * which is a finding. */
+/* Reads the settings file. Returns NULL and adds a finding if it cannot be
+ * read. */
 static GKeyFile *
 load_file(const char *path, const struct rp_setting *settings, size_t count,
           struct rp_error *error)
 {
     GKeyFile *file = g_key_file_new();
-    GError *failure = NULL;
+    GError *file_error = NULL;
     gchar *text = NULL;
     gsize len = 0;
 
-    if (!g_file_get_contents(path, &text, &len, &failure) ||
+    if (!g_file_get_contents(path, &text, &len, &file_error) ||
         !g_key_file_load_from_data(file, text, len, G_KEY_FILE_NONE,
-                                   &failure)) {
-        RpError_Add(error, RP_ERR_SETTING, path, "%s", failure->message);
-        g_error_free(failure);
+                                   &file_error)) {
+        RpError_Add(error, RP_ERR_SETTING, path, "%s", file_error->message);
+        g_error_free(file_error);
         g_key_file_free(file);
         file = NULL;
     }
     else if (len > RP_SETTINGS_FILE_MAX) {
-        RpError_Add(error, RP_ERR_LIMIT, path, "larger than %d bytes",
+        RpError_Add(error, RP_ERR_LIMIT, path, "is larger than %d bytes",
                     RP_SETTINGS_FILE_MAX);
     }
     else {
-        check_names(file, settings, count, error);
+        check_file_names(file, settings, count, error);
     }
     g_free(text);
     return file;
@@ -367,7 +373,7 @@
         gchar *path = RpSettings_FilePath(argc, argv);
         GKeyFile *file = path ? load_file(path, settings, count, error) : NULL;
         for (size_t i = 0; i < count; i++) {
-            read_one(&arguments, settings, i, file, target, error);
+            read_setting(&arguments, settings, i, file, target, error);
         }
         if (file) {
             g_key_file_free(file);
--- a/programs/shared/rp_settings.h
+++ b/programs/shared/rp_settings.h
@@ -1,11 +1,12 @@
-/* Settings: flags, with an environment variable and a line in a settings
- * file behind each.
+/* Reads a program's settings from flags, environment variables and a settings
+ * file.
  *
- * A program describes its settings in a table. A value comes from the flag,
- * else from the variable RADISHPORT_<FLAG>, else from the settings file, else
- * from the default. The file is named by --settings or RADISHPORT_SETTINGS;
- * it is a key file whose group [radishport] has the flags' names as keys.
- * Every finding on all of them is collected before the program gives up.
+ * A program describes its settings in a table. The value of a setting comes
+ * from its flag, or else from the variable RADISHPORT_<FLAG>, or else from the
+ * settings file, or else from its default. The file is named by --settings or
+ * RADISHPORT_SETTINGS; it is a GLib key file with the flags' names as keys in
+ * the group [radishport]. The findings on all settings are collected and
+ * reported together.
  */
 #ifndef RP_SETTINGS_H
 #define RP_SETTINGS_H
@@ -28,7 +29,7 @@
 
 enum rp_setting_kind {
     RP_SETTING_TEXT,      /* GString * */
-    RP_SETTING_NAME,      /* struct rp_name, a label */
+    RP_SETTING_NAME,      /* struct rp_name, a DNS label */
     RP_SETTING_ENDPOINT,  /* struct rp_endpoint */
     RP_SETTING_ENDPOINTS, /* struct rp_endpoints */
     RP_SETTING_UINT,      /* uint32_t, from `min` to `max` */
@@ -37,30 +38,32 @@
 };
 
 struct rp_setting {
-    const char *flag; /* long name, without dashes; NULL: a plain argument */
+    const char *flag; /* long name, without the leading dashes; NULL: a
+                       * positional argument */
     enum rp_setting_kind kind;
-    size_t offset;     /* of the member in the target struct */
-    const char *value; /* what the help calls the value */
+    size_t offset;     /* offset of the member in the target struct */
+    const char *value; /* placeholder for the value in the help */
     const char *help;
-    const char *fallback; /* NULL: required, except for switches */
-    uint32_t min;         /* of numbers */
+    const char *fallback; /* default; NULL: none, so required except for
+                           * switches */
+    uint32_t min;         /* bounds of numbers */
     uint32_t max;
     bool optional;      /* may stay unset without a default */
-    const char *unless; /* as `optional`, if the setting of this name is set */
+    const char *unless; /* optional if the setting with this flag is set */
 };
 
 enum rp_settings_result {
     RP_SETTINGS_READY,
-    RP_SETTINGS_DONE, /* help or version was printed: exit with 0 */
-    RP_SETTINGS_BAD   /* findings are in `error`: exit with 2 */
+    RP_SETTINGS_DONE, /* help or version was printed: exit with code 0 */
+    RP_SETTINGS_BAD   /* findings are in `error`: exit with code 2 */
 };
 
-/* The settings file that the arguments or the environment name, or NULL.
- * Free it. */
+/* Returns the path of the settings file from the arguments or the environment,
+ * or NULL if none is named. Free it with g_free. */
 gchar *RpSettings_FilePath(int argc, char **argv);
 
-/* Reads all settings into the zeroed struct at `target`. `usage` is the
- * text above the list of flags. */
+/* Reads all settings into the zeroed struct at `target`. `usage` is printed
+ * above the list of flags. The caller owns the strings in `target`. */
 enum rp_settings_result RpSettings_Read(const struct rp_setting *settings,
                                         size_t count, const char *program,
                                         const char *usage, int argc,
--- a/programs/shared/rp_udp.c
+++ b/programs/shared/rp_udp.c
@@ -1,3 +1,4 @@
+/* Batched UDP with recvmmsg and sendmmsg. */
 #include "rp_udp.h"
 
 #include <arpa/inet.h>
@@ -9,9 +10,14 @@
 #include <string.h>
 #include <sys/socket.h>
 
-#define BUFFER_SIZE (RP_DATAGRAM_MAX + 1) /* one more shows truncation */
-#define KERNEL_BUFFER (4 << 20)           /* bytes, as far as allowed */
-#define MAX_BATCHES_PER_WAKEUP 4          /* then others get their turn */
+/* One byte more than a datagram may have, to detect truncation. */
+#define BUFFER_SIZE (RP_DATAGRAM_MAX + 1)
+/* Requested size of the socket's buffers, in bytes; the kernel may allow
+ * less. */
+#define SOCKET_BUFFER_SIZE (4 << 20)
+/* Limits the work of one dispatch, so that other sources of the main loop get
+ * to run. */
+#define MAX_BATCHES_PER_WAKEUP 4
 
 /* One datagram that waits to be sent. */
 struct outgoing {
@@ -52,7 +58,7 @@
 }
 
 static void
-hand_over(struct rp_udp *udp, size_t index)
+deliver(struct rp_udp *udp, size_t index)
 {
     const struct sockaddr_in *from = &udp->in_from[index];
     size_t len = udp->in[index].msg_len;
@@ -79,7 +85,7 @@
             break;
         }
         for (int i = 0; i < got; i++) {
-            hand_over(udp, (size_t)i);
+            deliver(udp, (size_t)i);
             udp->in[i].msg_hdr.msg_namelen = sizeof udp->in_from[i];
         }
         RpUdp_Flush(udp);
@@ -96,29 +102,31 @@
 static GSocket *
 open_socket(struct rp_endpoint listen, struct rp_error *error)
 {
-    GError *failure = NULL;
+    GError *socket_error = NULL;
     char text[RP_ENDPOINT_TEXT_MAX];
     GSocket *socket = g_socket_new(G_SOCKET_FAMILY_IPV4,
                                    G_SOCKET_TYPE_DATAGRAM,
-                                   G_SOCKET_PROTOCOL_UDP, &failure);
+                                   G_SOCKET_PROTOCOL_UDP, &socket_error);
 
     if (socket) {
         GSocketAddress *address = g_inet_socket_address_new_from_string(
             RpIp_Format(listen.ip, text), listen.port);
-        if (!g_socket_bind(socket, address, FALSE, &failure)) {
+        if (!g_socket_bind(socket, address, FALSE, &socket_error)) {
             g_clear_object(&socket);
         }
         g_object_unref(address);
     }
     if (!socket) {
         RpError_Add(error, RP_ERR_IO, RpEndpoint_Format(listen, text),
-                    "cannot open UDP socket: %s", failure->message);
-        g_error_free(failure);
+                    "cannot open UDP socket: %s", socket_error->message);
+        g_error_free(socket_error);
         return NULL;
     }
     g_socket_set_blocking(socket, FALSE);
-    g_socket_set_option(socket, SOL_SOCKET, SO_RCVBUF, KERNEL_BUFFER, NULL);
-    g_socket_set_option(socket, SOL_SOCKET, SO_SNDBUF, KERNEL_BUFFER, NULL);
+    g_socket_set_option(socket, SOL_SOCKET, SO_RCVBUF, SOCKET_BUFFER_SIZE,
+                        NULL);
+    g_socket_set_option(socket, SOL_SOCKET, SO_SNDBUF, SOCKET_BUFFER_SIZE,
+                        NULL);
     return socket;
 }
 
@@ -207,7 +215,8 @@
             continue;
         }
         if (sent <= 0) {
-            /* The first of them failed: count it and go on with the rest. */
+            /* The first datagram could not be sent: count it and continue with
+             * the next one. */
             RpCounters_Add(udp->counters, errno == ECONNREFUSED
                                               ? RP_COUNT_PEER_UNREACHABLE
                                               : RP_COUNT_SEND_FAILED);
--- a/programs/shared/rp_udp.h
+++ b/programs/shared/rp_udp.h
@@ -1,9 +1,9 @@
 /* A UDP socket on the main loop that receives and sends in batches.
  *
- * Each datagram that arrives is handed to the owner with its bytes, which
- * stay valid until the batch ends; what the owner sends meanwhile goes out
- * together. A body that does not outlive the call must be sent with
- * RpUdp_SendCopy.
+ * Each received datagram is passed to the owner and stays valid until the end
+ * of the batch. Datagrams that the owner sends meanwhile are queued and sent
+ * together at that point. A body that does not stay valid until then must be
+ * sent with RpUdp_SendCopy.
  */
 #ifndef RP_UDP_H
 #define RP_UDP_H
@@ -19,36 +19,39 @@
 
 struct rp_udp;
 
-/* One datagram. Longer ones than RP_DATAGRAM_MAX are dropped and counted
- * before this is called. */
+/* Called for each received datagram. Datagrams longer than RP_DATAGRAM_MAX are
+ * counted and dropped before. */
 typedef void (*RpUdp_Receive)(void *user, uint8_t *data, size_t len,
                               struct rp_endpoint from);
 
-/* Opens a socket bound to `listen`. `counters` is borrowed. NULL with a
- * finding on failure. */
+/* Opens a socket bound to `listen` and starts to receive. `counters` is
+ * borrowed. Returns NULL and adds a finding on failure. */
 struct rp_udp *RpUdp_Open(struct rp_endpoint listen, RpUdp_Receive receive,
                           void *user, struct rp_counters *counters,
                           struct rp_error *error);
 
+/* Sends the queued datagrams and closes the socket. NULL does nothing. */
 void RpUdp_Close(struct rp_udp *udp);
 
-/* Sends header and body as one datagram. The header (at most
+/* Queues header and body as one datagram. The header (at most
  * RP_GENEVE_HEADROOM bytes) is copied; the body must stay valid until the
- * batch ends. */
+ * queue is sent. */
 void RpUdp_Send(struct rp_udp *udp, struct rp_endpoint to,
                 const uint8_t *header, size_t header_len, const uint8_t *body,
                 size_t body_len);
 
-/* As RpUdp_Send, at once, for a body that is about to go away. */
+/* As RpUdp_Send, but sends the whole queue at once, so the body needs to stay
+ * valid only during the call. */
 void RpUdp_SendCopy(struct rp_udp *udp, struct rp_endpoint to,
                     const uint8_t *header, size_t header_len,
                     const uint8_t *body, size_t body_len);
 
-/* At the end of a batch received by `udp`, what is queued on `partner` is
- * sent, too, so that bodies received by one may be queued on the other. */
+/* Also sends the queue of `partner` at the end of each batch that `udp`
+ * receives, so that bodies received on one socket can be queued on the
+ * other. */
 void RpUdp_SetPartner(struct rp_udp *udp, struct rp_udp *partner);
 
-/* Sends what is queued. Called by itself at the end of a batch. */
+/* Sends all queued datagrams. Called automatically at the end of a batch. */
 void RpUdp_Flush(struct rp_udp *udp);
 
 #endif
--- a/programs/shared/rp_wake.c
+++ b/programs/shared/rp_wake.c
@@ -1,3 +1,4 @@
+/* A timer for the earliest deadline, as a GSource with a ready time. */
 #include "rp_wake.h"
 
 #include "rp_clock.h"
@@ -9,9 +10,9 @@
     int64_t deadline;
 };
 
-/* A source that is only ever due by its ready time. */
+/* Dispatches the source, which has no other condition than its ready time. */
 static gboolean
-dispatch(GSource *source, GSourceFunc callback, gpointer data)
+dispatch_source(GSource *source, GSourceFunc callback, gpointer data)
 {
     (void)source;
     return callback(data);
@@ -31,7 +32,7 @@
 struct rp_wake *
 RpWake_Create(void (*run)(void *user), void *user)
 {
-    static GSourceFuncs functions = {.dispatch = dispatch};
+    static GSourceFuncs functions = {.dispatch = dispatch_source};
     struct rp_wake *wake = g_new0(struct rp_wake, 1);
 
     wake->run = run;
