--- a/tests/unit/test_budget.c
+++ b/tests/unit/test_budget.c
@@ -1,5 +1,5 @@
-/* Times that add up: the longest way that something may take, against the
- * bound that the users give for it. */
+/* Checks that the timeouts and pauses of the worst case of an operation add up
+ * to less than the bound that the users set for it. */
 #include <glib.h>
 
 #include "check.h"
@@ -9,27 +9,30 @@
 #include "rp_standing.h"
 #include "rp_reconnect.h"
 
-/* Users: a change is in force on every machine in touch after 3 s. */
+/* Required by the users: a change is in force on every connected machine
+ * within 3 s. */
 #define IN_FORCE_US (3 * RP_US_PER_SECOND)
-/* Users: a successor has 4 s to catch up before the next loss. */
+/* Required by the users: a replaced replica catches up within 4 s, before the
+ * next loss. */
 #define CATCH_UP_US (4 * RP_US_PER_SECOND)
 
-/* A node's control instance freezes just before a change is acknowledged;
- * the first one that it tries next is frozen, too. */
+/* A node's control instance freezes just before a change is acknowledged. In
+ * the second case the next instance that the node tries is frozen, too. */
 static void
 test_change_reaches_node_of_frozen_replica(void **state)
 {
-    int64_t notice = RP_CONN_SILENCE_US;
+    int64_t detect = RP_CONN_SILENCE_US;
     int64_t retry = RP_RECONNECT_PAUSE_MIN_MS * RP_US_PER_MS * 3 / 2;
-    int64_t spread = RP_HEARTBEAT_US + RP_TABLE_BATCH_US;
+    int64_t distribute = RP_HEARTBEAT_US + RP_TABLE_BATCH_US;
 
     (void)state;
-    assert_true(notice + retry + spread < IN_FORCE_US);
-    assert_true(notice + retry + RP_CONN_CONNECT_US + 2 * retry + spread <
+    assert_true(detect + retry + distribute < IN_FORCE_US);
+    assert_true(detect + retry + RP_CONN_CONNECT_US + 2 * retry + distribute <
                 IN_FORCE_US);
 }
 
-/* A replica that is cut off sends its nodes away, and they find another. */
+/* A replica that is cut off closes its nodes' connections, and they reconnect
+ * to another one. */
 static void
 test_change_reaches_node_of_cut_off_replica(void **state)
 {
@@ -41,7 +44,8 @@
                 IN_FORCE_US);
 }
 
-/* A removed replica's place is taken, with an election in between. */
+/* A new replica takes the place of a removed one, with an election in
+ * between. */
 static void
 test_replica_is_replaced(void **state)
 {
@@ -50,30 +54,32 @@
                 CATCH_UP_US);
 }
 
-/* A lease ends before another leader can be elected, and a lost heartbeat or
- * two does not end it. */
+/* A leader's lease must end before another leader can be elected, and must
+ * outlast two lost heartbeats. */
 static void
 test_lease(void **state)
 {
     (void)state;
     assert_true(RP_LEASE_US < RP_ELECTION_US);
     assert_true(RP_LEASE_US > 2 * RP_HEARTBEAT_US);
-    /* Nodes stay with a replica for the longest wait before an election. */
+    /* Nodes stay with a replica for the longest time until an election
+     * begins. */
     assert_true(RP_SEND_AWAY_MIN_US >= 2 * RP_ELECTION_US);
     assert_true(RP_CONN_SILENCE_US > 2 * RP_CONN_PING_US);
 }
 
-/* The longest pause that the dice can give. */
+/* Returns the highest random number, and thus gives the longest pause. */
 static uint32_t
-highest(uint32_t upper_bound)
+return_highest(uint32_t upper_bound)
 {
     return upper_bound - 1;
 }
 
-/* Until when a node that has tried since 0 has connected to an instance that
- * can be reached from `up_ms` on. */
+/* Returns when a node that has tried to connect since time 0 starts its first
+ * attempt at an instance that is reachable from `up_ms` on. In
+ * milliseconds. */
 static uint32_t
-connected_by(uint32_t up_ms)
+next_attempt_after(uint32_t up_ms)
 {
     struct rp_reconnect reconnect;
     uint32_t now = 0;
@@ -81,29 +87,30 @@
     RpReconnect_Init(&reconnect);
     while (now < up_ms) {
         now += RpReconnect_Begin(&reconnect);
-        now += RpReconnect_End(&reconnect, false, highest);
+        now += RpReconnect_End(&reconnect, false, return_highest);
     }
     return now;
 }
 
-/* The power is back: whenever that is, a node has connected after what one
- * attempt may take and one pause; in the first half second, while most have
- * just started, after what a short one takes. */
+/* After a power loss: a node starts an attempt at the recovered instance
+ * within one attempt and one pause. In the first half second, while most nodes
+ * have just started, short attempts make it faster. */
 static void
-test_node_is_back_after_power(void **state)
+test_node_reconnects_after_power_loss(void **state)
 {
     uint32_t pause = RP_RECONNECT_PAUSE_MIN_MS * 3 / 2;
     uint32_t longest = (uint32_t)(RP_CONN_CONNECT_US / RP_US_PER_MS) + pause;
-    uint32_t at_first = 2 * RP_RECONNECT_PATIENCE_MIN_MS + pause;
+    uint32_t longest_at_first = 2 * RP_RECONNECT_PATIENCE_MIN_MS + pause;
 
     (void)state;
     for (uint32_t up_ms = 0; up_ms < 5000; up_ms++) {
-        uint32_t took = connected_by(up_ms) - up_ms;
-        assert_true(took <= (up_ms < 500 ? at_first : longest));
+        uint32_t waited = next_attempt_after(up_ms) - up_ms;
+        assert_true(waited <= (up_ms < 500 ? longest_at_first : longest));
     }
 }
 
-/* An instance that answers and gives no table is not pressed. */
+/* Pauses after an instance that answers but sends no table grow, so that nodes
+ * do not overload it, and are short again after a table. */
 static void
 test_pauses_grow_where_answered(void **state)
 {
@@ -113,11 +120,11 @@
     RpReconnect_Init(&reconnect);
     for (uint32_t pause = RP_RECONNECT_PAUSE_MIN_MS;
          pause < RP_RECONNECT_PAUSE_MAX_MS; pause *= 2) {
-        assert_int_equal(RpReconnect_End(&reconnect, true, highest),
+        assert_int_equal(RpReconnect_End(&reconnect, true, return_highest),
                          pause / 2 + pause);
     }
     RpReconnect_Served(&reconnect);
-    assert_int_equal(RpReconnect_End(&reconnect, true, highest),
+    assert_int_equal(RpReconnect_End(&reconnect, true, return_highest),
                      RP_RECONNECT_PAUSE_MIN_MS * 3 / 2);
 }
 
@@ -129,7 +136,7 @@
         cmocka_unit_test(test_change_reaches_node_of_cut_off_replica),
         cmocka_unit_test(test_replica_is_replaced),
         cmocka_unit_test(test_lease),
-        cmocka_unit_test(test_node_is_back_after_power),
+        cmocka_unit_test(test_node_reconnects_after_power_loss),
         cmocka_unit_test(test_pauses_grow_where_answered),
     };
 
--- a/tests/unit/test_control_replica.c
+++ b/tests/unit/test_control_replica.c
@@ -1,5 +1,6 @@
-/* A control instance's replica on a disk that takes no more bytes for a
- * while. The limit on file sizes plays the full disk. */
+/* Tests a control instance's replica on a full disk: it must acknowledge
+ * nothing, stop taking part, and recover once there is space. A limit on the
+ * file size (RLIMIT_FSIZE) stands for the full disk. */
 #include <glib.h>
 #include <glib/gstdio.h>
 #include <signal.h>
@@ -10,10 +11,11 @@
 #include "control_replica.h"
 #include "rp_clock.h"
 
-struct seen {
+/* Calls of the callbacks. */
+struct calls {
     unsigned failed;
     unsigned restored;
-    unsigned applied; /* editions */
+    unsigned applied; /* applied editions */
 };
 
 static void
@@ -28,27 +30,27 @@
 on_applied(void *user, const struct rp_log_entry *entry,
            const struct rp_msg_change_reply *reply)
 {
-    struct seen *seen = user;
+    struct calls *calls = user;
 
     (void)entry;
-    seen->applied += reply->is_edition;
+    calls->applied += reply->is_edition;
 }
 
 static void
 on_restored(void *user)
 {
-    struct seen *seen = user;
+    struct calls *calls = user;
 
-    seen->restored++;
+    calls->restored++;
 }
 
 static void
 on_failed(void *user, const struct rp_error *error)
 {
-    struct seen *seen = user;
+    struct calls *calls = user;
 
     assert_int_not_equal(RpError_Count(error), 0);
-    seen->failed++;
+    calls->failed++;
 }
 
 static const struct rp_control_replica_ops ops = {.send = on_send,
@@ -57,7 +59,7 @@
                                                   .failed = on_failed};
 
 static enum rp_code
-propose(struct rp_control_replica *replica, uint64_t version)
+propose_edition(struct rp_control_replica *replica, uint64_t version)
 {
     struct rp_edition edition;
     uint64_t index;
@@ -77,7 +79,7 @@
 }
 
 static uint64_t
-version_of(const struct rp_control_replica *replica)
+current_version(const struct rp_control_replica *replica)
 {
     const struct rp_edition *edition = RpCatalog_Edition(
         RpControlReplica_Catalog(replica));
@@ -86,7 +88,7 @@
 }
 
 static void
-limit_files(rlim_t bytes)
+limit_file_size(rlim_t bytes)
 {
     struct rlimit limit;
 
@@ -98,36 +100,36 @@
 static void
 test_full_disk(void **state)
 {
-    struct seen seen = {0};
+    struct calls calls = {0};
     const struct rp_replica_member member = {.ip = 1, .port = 1, .voter = 1};
     gchar *folder = g_dir_make_tmp("rp-replica-XXXXXX", NULL);
     struct rp_control_replica *replica = RpControlReplica_Open(
-        folder, 0, RpClock_Now(), &ops, &seen, NULL);
+        folder, 0, RpClock_Now(), &ops, &calls, NULL);
 
     (void)state;
     assert_int_equal(RpControlReplica_Create(replica, &member, NULL), RP_OK);
     int64_t later = RpClock_Now() + RP_US_PER_SECOND;
     RpControlReplica_Tick(replica, later);
-    assert_int_equal(propose(replica, 7), RP_OK);
-    assert_int_equal(version_of(replica), 7);
-
-    /* Full: nothing is acknowledged, and the replica takes no part. */
-    limit_files(64);
-    propose(replica, 8);
-    assert_int_equal(seen.failed, 1);
-    assert_int_equal(version_of(replica), 7);
-    assert_int_equal(propose(replica, 9), RP_ERR_NO_LEADER);
-    assert_int_equal(seen.applied, 1);
-
-    /* Room again: it starts over from the disk and leads on. */
-    limit_files(RLIM_INFINITY);
+    assert_int_equal(propose_edition(replica, 7), RP_OK);
+    assert_int_equal(current_version(replica), 7);
+
+    /* Disk full: nothing is acknowledged, and the replica takes no part. */
+    limit_file_size(64);
+    propose_edition(replica, 8);
+    assert_int_equal(calls.failed, 1);
+    assert_int_equal(current_version(replica), 7);
+    assert_int_equal(propose_edition(replica, 9), RP_ERR_NO_LEADER);
+    assert_int_equal(calls.applied, 1);
+
+    /* Space again: the replica reads its journal again and leads again. */
+    limit_file_size(RLIM_INFINITY);
     later = RpClock_Now() + 2 * RP_US_PER_SECOND;
     RpControlReplica_Tick(replica, later);
-    assert_int_equal(seen.restored, 1);
+    assert_int_equal(calls.restored, 1);
     RpControlReplica_Tick(replica, later + RP_US_PER_SECOND);
-    assert_int_equal(version_of(replica), 7);
-    assert_int_equal(propose(replica, 10), RP_OK);
-    assert_int_equal(version_of(replica), 10);
+    assert_int_equal(current_version(replica), 7);
+    assert_int_equal(propose_edition(replica, 10), RP_OK);
+    assert_int_equal(current_version(replica), 10);
     RpControlReplica_Close(replica);
     gchar *path = g_build_filename(folder, "journal", NULL);
     g_remove(path);
