--- a/programs/daemon/agent.c
+++ b/programs/daemon/agent.c
@@ -287,7 +287,7 @@
 }
 
 static enum rp_upstream_state
-announced_state(const struct agent *agent)
+choose_announced_state(const struct agent *agent)
 {
     if (agent->leaving) {
         return RP_UPSTREAM_GONE;
@@ -311,7 +311,7 @@
                      .agent_ip = settings->listen.ip,
                      .agent_port = settings->listen.port,
                      .slots = load.slots,
-                     .state = (uint8_t)announced_state(agent),
+                     .state = (uint8_t)choose_announced_state(agent),
                      .incarnation = agent->incarnation,
                      .sequence = ++agent->sequence,
                      .lease_ms = settings->lease_ms,
--- a/programs/daemon/control.c
+++ b/programs/daemon/control.c
@@ -56,19 +56,19 @@
 };
 
 static struct rp_replica *
-replica_of(const struct control *control)
+get_replica(const struct control *control)
 {
     return RpControlReplica_Replica(control->replica);
 }
 
 static const struct rp_catalog *
-catalog_of(const struct control *control)
+get_catalog(const struct control *control)
 {
     return RpControlReplica_Catalog(control->replica);
 }
 
 static void
-on_send(void *user, uint64_t to, const struct rp_msg *msg)
+send_to_replica(void *user, uint64_t to, const struct rp_msg *msg)
 {
     const struct control *control = user;
 
@@ -78,8 +78,8 @@
 }
 
 static void
-on_applied(void *user, const struct rp_log_entry *entry,
-           const struct rp_msg_change_reply *reply)
+on_entry_applied(void *user, const struct rp_log_entry *entry,
+                 const struct rp_msg_change_reply *reply)
 {
     const struct control *control = user;
 
@@ -90,18 +90,18 @@
 }
 
 static void
-on_restored(void *user)
+on_catalog_restored(void *user)
 {
     const struct control *control = user;
 
     RpLog_Event(control->daemon.log, RP_LOG_INFO, "state_restored",
                 "revision=%" G_GUINT64_FORMAT,
-                RpCatalog_Revision(catalog_of(control)));
+                RpCatalog_Revision(get_catalog(control)));
     RpDistribution_TouchAll(control->distribution, RpClock_Now());
 }
 
 static void
-on_failed(void *user, const struct rp_error *error)
+on_storage_failed(void *user, const struct rp_error *error)
 {
     const struct control *control = user;
 
@@ -113,10 +113,10 @@
 }
 
 static const struct rp_control_replica_ops replica_ops = {
-    .send = on_send,
-    .applied = on_applied,
-    .restored = on_restored,
-    .failed = on_failed};
+    .send = send_to_replica,
+    .applied = on_entry_applied,
+    .restored = on_catalog_restored,
+    .failed = on_storage_failed};
 
 static void
 propose_command(struct control *control, GString *command)
@@ -136,10 +136,10 @@
 static void
 run_leader_duties(struct control *control, int64_t now)
 {
-    const struct rp_catalog *catalog = catalog_of(control);
+    const struct rp_catalog *catalog = get_catalog(control);
     uint8_t hash_key[RP_HASH_KEY_SIZE];
 
-    if (!RpReplica_IsFresh(replica_of(control), now)) {
+    if (!RpReplica_IsFresh(get_replica(control), now)) {
         return;
     }
     if (!RpCatalog_IsInitialised(catalog)) {
@@ -171,26 +171,26 @@
         .confirm = {.revision = RpDistribution_LowestConfirmed(
                         control->distribution)}};
     RpControlLinks_SendAll(control->links, &msg);
-    if (RpReplica_Role(replica_of(control)) == RP_REPLICA_LEADER) {
+    if (RpReplica_Role(get_replica(control)) == RP_REPLICA_LEADER) {
         run_leader_duties(control, now);
     }
 }
 
-/* Updates whether this replica is fresh or cut off from the leader, in the
- * parts that depend on it, and closes its nodes' connections when another
- * replica may serve them better. */
+/* Updates whether this replica is fresh or cut off from the leader, passes a
+ * change on to the distribution and the registry, and closes its nodes'
+ * connections when another replica may serve them better. */
 static void
 update_freshness(struct control *control, int64_t now)
 {
-    bool has_log = RpReplica_Members(replica_of(control))->len > 0;
-    bool fresh = RpReplica_IsFresh(replica_of(control), now);
+    bool has_log = RpReplica_Members(get_replica(control))->len > 0;
+    bool fresh = RpReplica_IsFresh(get_replica(control), now);
 
     if (RpStanding_Update(&control->standing, now, has_log, fresh)) {
         RpDistribution_SetFresh(control->distribution, now, fresh);
         RpRegistry_SetCutOff(control->registry, now, !fresh);
         RpLog_Event(control->daemon.log, fresh ? RP_LOG_INFO : RP_LOG_WARN,
                     fresh ? "replica_fresh" : "replica_cut_off", "role=%s",
-                    RpReplica_RoleName(replica_of(control)));
+                    RpReplica_RoleName(get_replica(control)));
     }
     if (RpStanding_SendsAway(&control->standing, now)) {
         RpControl_SendNodesAway(control);
@@ -220,7 +220,7 @@
 static void
 log_role_change(struct control *control)
 {
-    const struct rp_replica *replica = replica_of(control);
+    const struct rp_replica *replica = get_replica(control);
     const struct rp_replica_member *leader = RpReplica_Leader(replica);
     uint64_t leader_id = leader ? leader->id : 0;
 
@@ -279,14 +279,14 @@
 write_gauges(void *user, GString *out)
 {
     const struct control *control = user;
-    const struct rp_replica *replica = replica_of(control);
+    const struct rp_replica *replica = get_replica(control);
 
     g_string_append_printf(
         out,
         "revision %" G_GUINT64_FORMAT "\nlowest_confirmed %" G_GUINT64_FORMAT
         "\nconnections %u\nterm %" G_GUINT64_FORMAT
         "\ncommitted %" G_GUINT64_FORMAT "\nleads %d\nfresh %d\n",
-        RpCatalog_Revision(catalog_of(control)),
+        RpCatalog_Revision(get_catalog(control)),
         RpDistribution_LowestConfirmed(control->distribution),
         g_hash_table_size(control->clients), RpReplica_Term(replica),
         RpReplica_Committed(replica),
@@ -331,8 +331,9 @@
     return false;
 }
 
+/* Returns the id for a new data folder; 0: a random one. */
 static uint64_t
-initial_replica_id(const struct control *control)
+choose_replica_id(const struct control *control)
 {
     return is_initial_replica(control)
                ? derive_replica_id(control->settings.listen)
@@ -407,8 +408,8 @@
 
     RpError_Init(&error);
     control->replica = RpControlReplica_Open(
-        control->settings.data->str, initial_replica_id(control),
-        RpClock_Now(), &replica_ops, control, &error);
+        control->settings.data->str, choose_replica_id(control), RpClock_Now(),
+        &replica_ops, control, &error);
     RpDaemon_PrintFindings(&error);
     RpError_Clear(&error);
     return control->replica != NULL;
@@ -464,7 +465,7 @@
     control->registry = RpRegistry_Create();
     RpRegistry_SetCutOff(control->registry, RpClock_Now(), true);
     control->distribution = RpDistribution_Create(
-        catalog_of(control), control->registry, RpControl_SendTable, control);
+        get_catalog(control), control->registry, RpControl_SendTable, control);
     control->clients = g_hash_table_new_full(g_int64_hash, g_int64_equal,
                                              g_free, g_free);
     control->pending = g_hash_table_new_full(g_int64_hash, g_int64_equal,
--- a/programs/daemon/control_editions.c
+++ b/programs/daemon/control_editions.c
@@ -30,13 +30,13 @@
 };
 
 static struct rp_replica *
-replica_of(const struct control_editions *editions)
+get_replica(const struct control_editions *editions)
 {
     return RpControlReplica_Replica(editions->control->replica);
 }
 
 static const struct rp_catalog *
-catalog_of(const struct control_editions *editions)
+get_catalog(const struct control_editions *editions)
 {
     return RpControlReplica_Catalog(editions->control->replica);
 }
@@ -47,7 +47,7 @@
 redirect_to_leader(struct control_editions *editions,
                    struct rp_platform_request *request)
 {
-    const struct rp_replica *replica = replica_of(editions);
+    const struct rp_replica *replica = get_replica(editions);
     const struct rp_replica_member *leader = RpReplica_Leader(replica);
 
     if (leader && leader->id != RpReplica_Id(replica)) {
@@ -66,7 +66,7 @@
     struct pending_request *waiting = g_new0(struct pending_request, 1);
 
     waiting->request = request;
-    waiting->term = RpReplica_Term(replica_of(editions));
+    waiting->term = RpReplica_Term(get_replica(editions));
     waiting->deadline = RpClock_Now() + ANSWER_TIMEOUT_US;
     g_queue_push_tail(&editions->pending, waiting);
     return waiting;
@@ -78,7 +78,8 @@
 {
     struct control_editions *editions = user;
     struct control *control = editions->control;
-    const struct rp_edition *current = RpCatalog_Edition(catalog_of(editions));
+    const struct rp_edition *current = RpCatalog_Edition(
+        get_catalog(editions));
     uint64_t index;
     uint64_t term;
 
@@ -86,8 +87,8 @@
                 "version=%" G_GUINT64_FORMAT " have=%" G_GUINT64_FORMAT
                 " addresses=%u role=%s",
                 edition->version, current ? current->version : 0,
-                edition->vips->len, RpReplica_RoleName(replica_of(editions)));
-    if (RpReplica_Role(replica_of(editions)) != RP_REPLICA_LEADER) {
+                edition->vips->len, RpReplica_RoleName(get_replica(editions)));
+    if (RpReplica_Role(get_replica(editions)) != RP_REPLICA_LEADER) {
         redirect_to_leader(editions, request);
         return;
     }
@@ -114,7 +115,7 @@
 {
     struct control_editions *editions = user;
     struct control *control = editions->control;
-    uint64_t round = RpReplica_StartRead(replica_of(editions), RpClock_Now());
+    uint64_t round = RpReplica_StartRead(get_replica(editions), RpClock_Now());
 
     if (round == 0) {
         redirect_to_leader(editions, request);
@@ -141,7 +142,8 @@
 answer_read(struct control_editions *editions,
             const struct pending_request *waiting)
 {
-    const struct rp_edition *edition = RpCatalog_Edition(catalog_of(editions));
+    const struct rp_edition *edition = RpCatalog_Edition(
+        get_catalog(editions));
 
     if (edition) {
         RpPlatform_AnswerContent(waiting->request, edition->content);
@@ -157,7 +159,7 @@
 answer_if_decided(struct control_editions *editions,
                   const struct pending_request *waiting, int64_t now)
 {
-    const struct rp_replica *replica = replica_of(editions);
+    const struct rp_replica *replica = get_replica(editions);
 
     if (waiting->round &&
         RpReplica_ReadIsSafe(replica, waiting->term, waiting->round)) {
--- a/programs/daemon/control_links.c
+++ b/programs/daemon/control_links.c
@@ -78,7 +78,7 @@
 }
 
 static struct rp_replica_member
-self_as_member(const struct control *control)
+describe_self(const struct control *control)
 {
     return (struct rp_replica_member){
         .id = RpReplica_Id(RpControlReplica_Replica(control->replica)),
@@ -127,8 +127,8 @@
         /* Sent at once: after a restart of the whole system the election waits
          * until this request shows that the replica previously at this address
          * has lost its disk. */
-        const struct rp_msg msg = {
-            .type = RP_MSG_JOIN, .join = {.member = self_as_member(control)}};
+        const struct rp_msg msg = {.type = RP_MSG_JOIN,
+                                   .join = {.member = describe_self(control)}};
         RpConn_Send(conn, &msg);
     }
     send_local_upstreams(control, conn);
@@ -249,7 +249,7 @@
     }
     links->next_join = now + JOIN_INTERVAL_US;
     const struct rp_msg msg = {.type = RP_MSG_JOIN,
-                               .join = {.member = self_as_member(control)}};
+                               .join = {.member = describe_self(control)}};
     RpControlLinks_SendAll(links, &msg);
     /* A leader whose own address has changed must process its own request. */
     RpControlReplica_Join(control->replica, now, &msg.join.member, true);
--- a/programs/daemon/control_nodes.c
+++ b/programs/daemon/control_nodes.c
@@ -21,13 +21,13 @@
 };
 
 static const struct rp_catalog *
-catalog_of(const struct control *control)
+get_catalog(const struct control *control)
 {
     return RpControlReplica_Catalog(control->replica);
 }
 
 static struct rp_replica *
-replica_of(const struct control *control)
+get_replica(const struct control *control)
 {
     return RpControlReplica_Replica(control->replica);
 }
@@ -101,7 +101,7 @@
         return;
     }
     control->changed_at = now;
-    if (RpCatalog_Find(catalog_of(control), &reply->service)) {
+    if (RpCatalog_Find(get_catalog(control), &reply->service)) {
         RpDistribution_Touch(control->distribution, now, &reply->service);
     }
     else {
@@ -116,7 +116,7 @@
 publish_edition(struct control *control, const struct rp_log_entry *entry,
                 const struct rp_msg_change_reply *reply)
 {
-    const struct rp_edition *edition = RpCatalog_Edition(catalog_of(control));
+    const struct rp_edition *edition = RpCatalog_Edition(get_catalog(control));
 
     RpCounters_Add(&control->daemon.counters, find_reply_counter(reply));
     RpLog_Event(control->daemon.log, RP_LOG_INFO, "edition_decided",
@@ -266,7 +266,7 @@
 static void
 build_controls_msg(const struct control *control, struct rp_msg *msg)
 {
-    const GArray *members = RpReplica_Members(replica_of(control));
+    const GArray *members = RpReplica_Members(get_replica(control));
 
     *msg = (struct rp_msg){.type = RP_MSG_CONTROLS,
                            .controls = {.list = RpSchema_NewList(
@@ -283,7 +283,7 @@
 void
 RpControl_TellMembers(struct control *control)
 {
-    const GArray *members = RpReplica_Members(replica_of(control));
+    const GArray *members = RpReplica_Members(get_replica(control));
     uint64_t digest = members->len;
 
     for (guint i = 0; i < members->len; i++) {
@@ -334,7 +334,7 @@
 list_this_replica(const struct control *control)
 {
     GArray *rows = RpSchema_NewList(&rp_msg_replica_info_schema);
-    const struct rp_replica *replica = replica_of(control);
+    const struct rp_replica *replica = get_replica(control);
     struct rp_msg_replica_info row = {
         .name = control->settings.common.name,
         .term = RpReplica_Term(replica),
@@ -351,9 +351,9 @@
 build_document_reply(const struct control *control,
                      const struct rp_name *service, struct rp_msg *msg)
 {
-    const struct rp_replica *replica = replica_of(control);
+    const struct rp_replica *replica = get_replica(control);
 
-    RpStatus_Document(catalog_of(control), service, msg);
+    RpStatus_Document(get_catalog(control), service, msg);
     if (RpReplica_Role(replica) != RP_REPLICA_LEADER ||
         !RpReplica_IsFresh(replica, RpClock_Now())) {
         msg->document.code = RP_ERR_NO_LEADER;
@@ -368,13 +368,13 @@
 
     switch (query->kind) {
     case RP_QUERY_SERVICES:
-        RpStatus_Services(catalog_of(control), control->registry, &msg);
+        RpStatus_Services(get_catalog(control), control->registry, &msg);
         break;
     case RP_QUERY_DOCUMENT:
         build_document_reply(control, &query->service, &msg);
         break;
     default:
-        RpStatus_Status(catalog_of(control), control->registry,
+        RpStatus_Status(get_catalog(control), control->registry,
                         control->distribution, RpClock_Now(), &query->service,
                         &msg);
         g_array_free(msg.status.replicas, TRUE);
@@ -413,7 +413,7 @@
 
 /* Returns whether a peer of this role may send messages of this type. */
 static bool
-may_role_send(uint8_t role, enum rp_msg_type type)
+is_message_allowed(uint8_t role, enum rp_msg_type type)
 {
     switch (type) {
     case RP_MSG_CHANGE:
@@ -510,7 +510,7 @@
     struct client *client = user;
     struct control *control = client->control;
 
-    if (!may_role_send(client->hello.role, msg->type)) {
+    if (!is_message_allowed(client->hello.role, msg->type)) {
         RpCounters_Add(&control->daemon.counters, RP_COUNT_FRAME_UNEXPECTED);
         RpLog_Event(control->daemon.log, RP_LOG_WARN, "message_refused",
                     "peer=%s role=%s type=%s", client->hello.name.data,
--- a/programs/daemon/control_replica.h
+++ b/programs/daemon/control_replica.h
@@ -73,8 +73,8 @@
 struct rp_replica *
 RpControlReplica_Replica(const struct rp_control_replica *self);
 
-/* Events: time passes, a message arrives, a replica asks to join (`passed_on`:
- * a third replica forwarded its request). Each also runs the resulting
+/* Events: time passes, a message arrives, a replica asks to join (`forwarded`:
+ * its request comes through a third replica). Each also runs the resulting
  * actions. A replica whose disk has failed ignores messages and requests to
  * join. */
 void RpControlReplica_Tick(struct rp_control_replica *self, int64_t now);
@@ -82,7 +82,7 @@
                               const struct rp_msg *msg);
 void RpControlReplica_Join(struct rp_control_replica *self, int64_t now,
                            const struct rp_replica_member *member,
-                           bool passed_on);
+                           bool forwarded);
 
 /* Leader: appends a command to the log and returns its index and term. The
  * caller records these and then calls RpControlReplica_CarryOut, which stores,
--- a/programs/daemon/rp_daemon.c
+++ b/programs/daemon/rp_daemon.c
@@ -142,7 +142,7 @@
 /* Returns the mtime of the settings file in microseconds; 0 if there is
  * none. */
 static int64_t
-settings_file_mtime(const struct rp_settings_source *source)
+read_settings_file_mtime(const struct rp_settings_source *source)
 {
     gchar *path = RpSettings_FilePath(source->argc, source->argv);
     GStatBuf status = {0};
@@ -166,7 +166,7 @@
     struct rp_error error;
 
     RpError_Init(&error);
-    daemon->file_changed = settings_file_mtime(source);
+    daemon->file_changed = read_settings_file_mtime(source);
     if (RpSettings_Read(source->table, source->count, daemon->role_name, "",
                         source->argc, source->argv, settings,
                         &error) == RP_SETTINGS_READY) {
@@ -193,7 +193,7 @@
 {
     struct rp_daemon *daemon = data;
 
-    if (settings_file_mtime(&daemon->source) != daemon->file_changed) {
+    if (read_settings_file_mtime(&daemon->source) != daemon->file_changed) {
         reload_settings(daemon);
     }
     return G_SOURCE_CONTINUE;
@@ -207,7 +207,7 @@
     daemon->source = *source;
     daemon->reload = reload;
     daemon->reload_user = user;
-    daemon->file_changed = settings_file_mtime(source);
+    daemon->file_changed = read_settings_file_mtime(source);
     g_unix_signal_add(SIGHUP, on_sighup, daemon);
     if (daemon->file_changed) {
         g_timeout_add_seconds(WATCH_INTERVAL_SECONDS, on_watch_timer, daemon);
--- a/programs/daemon/rp_daemon.h
+++ b/programs/daemon/rp_daemon.h
@@ -48,8 +48,8 @@
          .kind = RP_SETTING_TEXT,                                             \
          .offset = offsetof(struct type, member.key),                         \
          .value = "KEY",                                                      \
-         .help = "the shared keys themselves, for settings files that only "  \
-                 "the daemon can read",                                       \
+         .help = "the shared key itself, for settings files that only the "   \
+                 "daemon can read",                                           \
          .optional = true},                                                   \
         {.flag = "log-level",                                                 \
          .kind = RP_SETTING_LEVEL,                                            \
--- a/programs/shared/rp_conn.c
+++ b/programs/shared/rp_conn.c
@@ -41,7 +41,7 @@
 static void start_read(struct rp_conn *conn);
 
 static uint64_t
-next_number(void)
+take_next_number(void)
 {
     static uint64_t last;
 
@@ -353,7 +353,7 @@
     conn->context = context;
     conn->ops = ops;
     conn->user = user;
-    conn->number = next_number();
+    conn->number = take_next_number();
     conn->opened_by_us = opened_by_us;
     conn->cancellable = g_cancellable_new();
     conn->session = RpSession_Create(context->keyring, opened_by_us, nonce);
--- a/programs/shared/rp_settings.c
+++ b/programs/shared/rp_settings.c
@@ -23,7 +23,7 @@
 };
 
 static gchar *
-variable_name(const char *flag)
+build_variable_name(const char *flag)
 {
     if (!flag) {
         return NULL;
@@ -204,7 +204,7 @@
 find_value(const struct rp_setting *setting, void *argument, GKeyFile *file,
            gchar **place)
 {
-    gchar *variable = variable_name(setting->flag);
+    gchar *variable = build_variable_name(setting->flag);
     gchar *value = NULL;
 
     *place = setting->flag ? g_strdup_printf("--%s", setting->flag)
@@ -263,7 +263,7 @@
     }
     else if (!setting->optional && setting->kind != RP_SETTING_SWITCH &&
              !has_value(arguments, settings, file, setting->unless)) {
-        gchar *variable = variable_name(setting->flag);
+        gchar *variable = build_variable_name(setting->flag);
         RpError_Add(error, RP_ERR_SETTING, place, "is required%s%s",
                     variable ? ", or set " : "", variable ? variable : "");
         g_free(variable);
--- a/tests/unit/test_budget.c
+++ b/tests/unit/test_budget.c
@@ -36,11 +36,11 @@
 static void
 test_change_reaches_node_of_cut_off_replica(void **state)
 {
-    int64_t send_away = RP_LEASE_US + RP_SEND_AWAY_MIN_US;
+    int64_t disconnect = RP_LEASE_US + RP_SEND_AWAY_MIN_US;
     int64_t retry = RP_RECONNECT_PAUSE_MIN_MS * RP_US_PER_MS * 3 / 2;
 
     (void)state;
-    assert_true(send_away + retry + RP_HEARTBEAT_US + RP_TABLE_BATCH_US <
+    assert_true(disconnect + retry + RP_HEARTBEAT_US + RP_TABLE_BATCH_US <
                 IN_FORCE_US);
 }
 
@@ -62,8 +62,8 @@
     (void)state;
     assert_true(RP_LEASE_US < RP_ELECTION_US);
     assert_true(RP_LEASE_US > 2 * RP_HEARTBEAT_US);
-    /* Nodes stay with a replica for the longest time until an election
-     * begins. */
+    /* Nodes stay with a cut-off replica until an election has begun, which
+     * takes at most twice RP_ELECTION_US. */
     assert_true(RP_SEND_AWAY_MIN_US >= 2 * RP_ELECTION_US);
     assert_true(RP_CONN_SILENCE_US > 2 * RP_CONN_PING_US);
 }
