--- a/lib/state/rp_replica.c
+++ b/lib/state/rp_replica.c
@@ -1,3 +1,7 @@
+/* The replica's public calls: life cycle, reload after a restart, timers,
+ * dispatch of received messages, proposals, confirmed reads and compaction.
+ * Elections, replication and changes of the members are in the other
+ * rp_replica_*.c files. */
 #include "rp_replica.h"
 
 #include <assert.h>
@@ -40,23 +44,24 @@
 
     assert(id != 0);
     replica->id = id;
-    replica->dice = g_rand_new_with_seed_array(seeds, 2);
+    replica->rng = g_rand_new_with_seed_array(seeds, 2);
     replica->actions = new_actions();
     replica->log = g_ptr_array_new_with_free_func(free_entry);
     replica->members = g_array_new(FALSE, TRUE,
                                    sizeof(struct rp_replica_member));
     replica->peers = g_array_new(FALSE, TRUE, sizeof(struct rp_peer));
-    replica->round_times = g_array_new(FALSE, TRUE, sizeof(int64_t));
-    /* It may have answered a leader just before it was stopped: that
-     * leader's lease must run out before this replica votes again. After
-     * that there is nothing to wait for: a leader that lives makes itself
-     * heard by then, and the trial round keeps others from disturbing it.
-     * Where all have started anew it is sooner (rp_replica_start.c). */
-    replica->leader_seen = now - RP_ELECTION_US + RP_LEASE_US;
+    replica->round_send_times = g_array_new(FALSE, TRUE, sizeof(int64_t));
+    /* This replica may have acknowledged a leader's heartbeat just before it
+     * stopped, so it must not vote until that leader's lease has expired. A
+     * longer wait gains nothing: a leader that still runs sends a heartbeat
+     * by then, and the pre-vote keeps an election from deposing it. If all
+     * members have restarted, the election starts earlier
+     * (rp_replica_start.c). */
+    replica->last_leader_contact = now - RP_ELECTION_US + RP_LEASE_US;
     replica->election_deadline = now + RP_LEASE_US +
-                                 (int64_t)(g_rand_double(replica->dice) *
+                                 (int64_t)(g_rand_double(replica->rng) *
                                            (double)RP_LEASE_US / 2);
-    replica->restarted = true;
+    replica->no_leader_since_start = true;
     return replica;
 }
 
@@ -66,18 +71,18 @@
     if (!replica) {
         return;
     }
-    g_rand_free(replica->dice);
+    g_rand_free(replica->rng);
     g_array_free(replica->actions, TRUE);
     g_ptr_array_unref(replica->log);
     g_array_free(replica->members, TRUE);
     g_array_free(replica->peers, TRUE);
-    g_array_free(replica->round_times, TRUE);
+    g_array_free(replica->round_send_times, TRUE);
     RpLog_FreeSnapshot(replica->snapshot);
     if (replica->snapshot_bytes) {
         g_string_free(replica->snapshot_bytes, TRUE);
     }
-    if (replica->incoming) {
-        g_string_free(replica->incoming, TRUE);
+    if (replica->incoming_snapshot) {
+        g_string_free(replica->incoming_snapshot, TRUE);
     }
     g_free(replica);
 }
@@ -116,8 +121,8 @@
                        const struct rp_snapshot *snapshot)
 {
     RpLog_SetSnapshot(replica, snapshot);
-    replica->committed = snapshot->index;
-    replica->applied = snapshot->index;
+    replica->commit_index = snapshot->index;
+    replica->last_applied = snapshot->index;
 }
 
 struct rp_replica_action *
@@ -170,10 +175,10 @@
 void
 RpReplica_ResetElection(struct rp_replica *replica, int64_t now)
 {
-    double spread = g_rand_double(replica->dice);
+    double jitter = g_rand_double(replica->rng);
 
     replica->election_deadline = now + RP_ELECTION_US +
-                                 (int64_t)(spread * (double)RP_ELECTION_US);
+                                 (int64_t)(jitter * (double)RP_ELECTION_US);
 }
 
 void
@@ -189,7 +194,7 @@
         RpReplica_ResetElection(replica, now);
     }
     replica->role = RP_REPLICA_FOLLOWER;
-    replica->leader = leader;
+    replica->leader_id = leader;
 }
 
 const struct rp_replica_member *
@@ -241,12 +246,12 @@
 void
 RpReplica_ApplyCommitted(struct rp_replica *replica)
 {
-    while (replica->applied < replica->committed) {
+    while (replica->last_applied < replica->commit_index) {
         const struct rp_log_entry *entry = RpLog_At(replica,
-                                                    replica->applied + 1);
+                                                    replica->last_applied + 1);
         assert(entry);
         RpReplica_Act(replica, RP_REPLICA_APPLY)->entry = entry;
-        replica->applied++;
+        replica->last_applied++;
     }
 }
 
@@ -254,16 +259,16 @@
 RpReplica_AppendOwn(struct rp_replica *replica, enum rp_entry_kind kind,
                     const GString *data)
 {
-    GString *nothing = g_string_new(NULL);
+    GString *no_data = g_string_new(NULL);
     const struct rp_log_entry entry = {.index = RpLog_LastIndex(replica) + 1,
                                        .term = replica->term,
                                        .kind = (uint8_t)kind,
                                        .data = data ? (GString *)data
-                                                    : nothing};
+                                                    : no_data};
     const struct rp_log_entry *added = RpLog_Add(replica, &entry);
 
     RpReplica_Act(replica, RP_REPLICA_STORE_ENTRY)->entry = added;
-    g_string_free(nothing, TRUE);
+    g_string_free(no_data, TRUE);
     return added;
 }
 
@@ -300,9 +305,9 @@
     g_string_free(data, TRUE);
 }
 
-/* Whether nobody else has a vote. */
+/* Whether this replica is the only voter. */
 static bool
-votes_alone(const struct rp_replica *replica)
+is_sole_voter(const struct rp_replica *replica)
 {
     return RpReplica_Quorum(replica) == 1 &&
            RpReplica_IsVoter(replica, replica->id);
@@ -318,16 +323,17 @@
     if (!RpReplica_IsVoter(replica, replica->id)) {
         return;
     }
-    if (now >= replica->election_deadline || votes_alone(replica)) {
+    if (now >= replica->election_deadline || is_sole_voter(replica)) {
         RpReplica_StartTrial(replica, now);
         return;
     }
     RpReplica_StartTick(replica, now);
 }
 
-/* Whom a message between replicas is for; 0 if it is none of those. */
+/* Returns the id of the replica that a message is addressed to; 0 if the
+ * message is not one between replicas. */
 static uint64_t
-addressee(const struct rp_msg *msg)
+recipient_of(const struct rp_msg *msg)
 {
     switch (msg->type) {
     case RP_MSG_VOTE:
@@ -376,7 +382,7 @@
         RpReplica_Join(replica, now, &msg->join.member, true);
         return;
     }
-    if (addressee(msg) != replica->id) {
+    if (recipient_of(msg) != replica->id) {
         return;
     }
     switch (msg->type) {
@@ -419,7 +425,7 @@
     uint64_t term = 0;
 
     if (replica->role != RP_REPLICA_LEADER ||
-        !RpLog_TermAt(replica, replica->committed, &term) ||
+        !RpLog_TermAt(replica, replica->commit_index, &term) ||
         term != replica->term) {
         return 0;
     }
@@ -439,7 +445,7 @@
     for (guint i = 0; i < replica->peers->len; i++) {
         const struct rp_peer *peer = &g_array_index(replica->peers,
                                                     struct rp_peer, i);
-        answered += peer->round >= round &&
+        answered += peer->acked_round >= round &&
                     RpReplica_IsVoter(replica, peer->id);
     }
     return answered >= RpReplica_Quorum(replica);
@@ -448,17 +454,17 @@
 const struct rp_replica_member *
 RpReplica_Leader(const struct rp_replica *replica)
 {
-    return RpReplica_FindMember(replica, replica->leader);
+    return RpReplica_FindMember(replica, replica->leader_id);
 }
 
 void
 RpReplica_Compact(struct rp_replica *replica, const GString *data)
 {
     struct rp_snapshot snapshot = {
-        .index = replica->applied,
-        .members = RpLog_MembersAt(replica, replica->applied),
+        .index = replica->last_applied,
+        .members = RpLog_MembersAt(replica, replica->last_applied),
         .data = (GString *)data};
-    bool known = RpLog_TermAt(replica, replica->applied, &snapshot.term);
+    bool known = RpLog_TermAt(replica, replica->last_applied, &snapshot.term);
 
     assert(known);
     RpLog_SetSnapshot(replica, &snapshot);
@@ -471,15 +477,16 @@
     uint64_t term = 0;
 
     if (replica->role == RP_REPLICA_LEADER) {
-        RpLog_TermAt(replica, replica->committed, &term);
+        RpLog_TermAt(replica, replica->commit_index, &term);
         return term == replica->term &&
                RpReplica_QuorumContact(replica) > now - RP_LEASE_US;
     }
-    /* Contacts of a leader whose lease is over, or that has committed nothing
-     * in its own term yet, do not count: others may have committed more. */
-    return replica->leader != 0 && replica->fresh_seen != 0 &&
-           now - replica->fresh_seen < RP_LEASE_US &&
-           replica->applied >= replica->leader_committed;
+    /* An append counts only if the leader's lease was valid and the leader
+     * had committed an entry of its own term: otherwise another leader may
+     * have committed entries that this one does not know. */
+    return replica->leader_id != 0 && replica->last_fresh_contact != 0 &&
+           now - replica->last_fresh_contact < RP_LEASE_US &&
+           replica->last_applied >= replica->leader_commit_index;
 }
 
 uint64_t
@@ -518,7 +525,7 @@
 uint64_t
 RpReplica_Committed(const struct rp_replica *replica)
 {
-    return replica->committed;
+    return replica->commit_index;
 }
 
 uint64_t
@@ -544,7 +551,7 @@
 {
     return !RpReplica_IsMember(replica) ||
            (replica->role != RP_REPLICA_LEADER &&
-            now - replica->leader_seen > RP_REJOIN_US);
+            now - replica->last_leader_contact > RP_REJOIN_US);
 }
 
 uint64_t
--- a/lib/state/rp_replica.h
+++ b/lib/state/rp_replica.h
@@ -1,22 +1,30 @@
-/* Agreement: one replica of a replicated log, without I/O or clock.
+/* One replica of a replicated log, as in Raft, without I/O or a clock.
  *
- * The replicas elect a leader, which orders entries and commits those that
- * a majority of the voters has stored. What is committed is never lost or
- * changed, on any replica, whatever else fails. In short:
+ * The voters elect a leader. The leader orders the entries and commits an
+ * entry once a majority of the voters has stored it. A committed entry is
+ * never lost or changed, on any replica, whatever else fails. Beyond plain
+ * Raft:
  *
- * - terms, with a trial round of votes first, so that a replica that was
- *   cut off does not disturb the others when it returns;
- * - a replica that heard from a leader lately votes for nobody else, and a
- *   leader that lost its majority steps down: so a leader may answer reads
- *   by itself while its lease holds;
- * - where every process has started anew there is no lease to wait for, and
- *   they elect at once (rp_replica_start.c);
- * - one change of the members at a time; a new one learns before it votes;
- * - a replica whose disk was lost has a new id and is let in again.
+ * - Pre-vote: before it raises its term, a replica asks whether it could win,
+ *   so that a replica that was cut off does not depose the leader when it
+ *   returns.
+ * - Leader lease: a replica that has heard from a leader within the last
+ *   election timeout votes for no other, and a leader that has lost its
+ *   majority steps down. So a leader answers reads alone while its lease is
+ *   valid.
+ * - Startup election: if every member's process has restarted, no lease can
+ *   still be valid and the replicas elect at once (rp_replica_start.c).
+ * - Members change one at a time, and a new member is a learner before it is
+ *   a voter.
+ * - A replica that lost its disk has a new id and joins again as a new
+ *   member.
  *
- * Every call may leave actions, to be carried out in their order. Those
- * that store something must be durable (one sync for a run of them) before
- * any later action that sends or applies.
+ * Every call may add actions, which the caller carries out in order. What a
+ * store action stores must be durable before any later action that sends or
+ * applies; one sync may cover several store actions in a row.
+ *
+ * Times are in microseconds, on a clock of the caller that never runs
+ * backwards.
  */
 #ifndef RP_REPLICA_H
 #define RP_REPLICA_H
@@ -27,43 +35,47 @@
 #include "rp_msg.h"
 #include "rp_time.h"
 
-#define RP_REPLICA_MAX 15 /* members */
+#define RP_REPLICA_MAX 15 /* members of a group, learners included */
 #define RP_HEARTBEAT_US (100 * RP_US_PER_MS)
-/* A follower waits one to two times this long for its leader: five missed
- * heartbeats, so that a pause of a few hundred milliseconds (a slow disk, a
- * used-up share of the processor) deposes nobody. After a loss of power
- * callers wait for this and little else. */
+/* A follower that hears nothing from a leader starts a pre-vote after one to
+ * two times this long, at random. Five heartbeats are missed by then, so a
+ * pause of a few hundred milliseconds (a slow disk, an exhausted CPU quota)
+ * does not depose a leader. After a power loss this is most of the time that
+ * callers wait. */
 #define RP_ELECTION_US (500 * RP_US_PER_MS)
-/* How long a leader may trust its last contact with a majority. Shorter
- * than RP_ELECTION_US by what clocks may differ in speed. */
+/* How long a leader's lease lasts after it sent the last round that a
+ * majority answered. Shorter than RP_ELECTION_US by the margin for clocks
+ * that run at different speeds. */
 #define RP_LEASE_US (400 * RP_US_PER_MS)
-/* After this long without a leader a replica asks to be let in again. */
+/* A replica that has heard from no leader for this long asks to join again. */
 #define RP_REJOIN_US (10 * RP_ELECTION_US)
-/* A voter that has been silent this long gives its place to a learner that
- * waits for one: a machine that was replaced never comes back, and until it
- * is out one loss less can be borne. Half of the four seconds that users
- * give a successor to catch up. */
+/* A voter that has not answered for this long is removed once a learner has
+ * caught up to replace it: a machine that was replaced never comes back,
+ * and until its member is removed the group tolerates one failure less. Half
+ * of the four seconds within which users expect a replacement to catch up. */
 #define RP_REPLACE_US (2 * RP_US_PER_SECOND)
 #define RP_APPEND_MAX_ENTRIES 64
 #define RP_SNAPSHOT_CHUNK (256u << 10) /* bytes */
 
 enum rp_replica_role {
     RP_REPLICA_FOLLOWER,
-    RP_REPLICA_TRIAL, /* asks whether an election could be won */
+    RP_REPLICA_TRIAL, /* runs a pre-vote */
     RP_REPLICA_CANDIDATE,
     RP_REPLICA_LEADER
 };
 
 enum rp_replica_action_kind {
-    RP_REPLICA_STORE_VOTE,     /* term and voted_for */
-    RP_REPLICA_STORE_ENTRY,    /* entry */
-    RP_REPLICA_STORE_TRUNCATE, /* drop entries from index on */
-    RP_REPLICA_STORE_SNAPSHOT, /* snapshot replaces all up to its index */
-    RP_REPLICA_SEND,           /* msg, to the member with id `to` */
-    RP_REPLICA_APPLY           /* entry is committed: apply it */
+    RP_REPLICA_STORE_VOTE,     /* store term and voted_for */
+    RP_REPLICA_STORE_ENTRY,    /* append entry */
+    RP_REPLICA_STORE_TRUNCATE, /* delete the entries from index on */
+    RP_REPLICA_STORE_SNAPSHOT, /* replace entries up to its index */
+    RP_REPLICA_SEND,           /* send msg to the member with id `to` */
+    RP_REPLICA_APPLY           /* apply entry, which is committed */
 };
 
-/* One thing to do. Pointers are valid until the next call. */
+/* One action. Its kind says which members are set. `entry` and `snapshot`
+ * belong to the replica; they are valid until the next call that changes the
+ * replica. */
 struct rp_replica_action {
     enum rp_replica_action_kind kind;
     uint64_t term;
@@ -77,13 +89,16 @@
 
 struct rp_replica;
 
-/* A replica with nothing stored. `id` is not 0; `seed` spreads elections. */
+/* Creates a replica with an empty log, as a follower. `id` is not 0; `seed`
+ * seeds the random part of its election timeouts. */
 struct rp_replica *RpReplica_Create(uint64_t id, uint64_t seed, int64_t now);
 
 void RpReplica_Free(struct rp_replica *replica);
 
-/* What was stored before, in the order in which it was stored. An entry that
- * leaves a gap is RP_ERR_CORRUPT: something that was stored is missing. */
+/* Load what the store actions stored before a restart, in the order in which
+ * it was stored; the replica copies its arguments. RpReplica_LoadEntry
+ * ignores an entry whose index the log has already, and returns
+ * RP_ERR_CORRUPT if the entry leaves a gap: a stored entry is missing. */
 void RpReplica_LoadVote(struct rp_replica *replica, uint64_t term,
                         uint64_t voted_for);
 enum rp_code RpReplica_LoadEntry(struct rp_replica *replica,
@@ -92,83 +107,98 @@
 void RpReplica_LoadSnapshot(struct rp_replica *replica,
                             const struct rp_snapshot *snapshot);
 
-/* Makes the first replica of a new system, with itself as only member. */
+/* Starts a new group with this replica, which is empty, as its only member. */
 void RpReplica_Bootstrap(struct rp_replica *replica,
                          const struct rp_replica_member *self);
 
-/* Makes one of the first replicas of a new system, all of which are given
- * the same list; their ids are known beforehand. */
+/* Starts a new group whose members (struct rp_replica_member) are known in
+ * advance. Call it on every one of them, while empty, with the same list. */
 void RpReplica_BootstrapGroup(struct rp_replica *replica,
                               const GArray *members);
 
-/* Time has passed. */
+/* Runs the timers that have expired by `now`: elections, heartbeats and the
+ * promotion of learners. Call it regularly, a few times per heartbeat
+ * interval. */
 void RpReplica_Tick(struct rp_replica *replica, int64_t now);
 
-/* A message of another replica. Messages to another id are ignored. */
+/* Handles a message from another replica; `msg` stays the caller's. Messages
+ * addressed to another id are ignored. */
 void RpReplica_Receive(struct rp_replica *replica, int64_t now,
                        const struct rp_msg *msg);
 
-/* The id of the replica that sent a message between replicas; else 0. */
+/* Returns the id of the replica that sent `msg`; 0 if it is not a message
+ * between replicas. */
 uint64_t RpReplica_Sender(const struct rp_msg *msg);
 
-/* Leader: adds a command. Its index goes to `*index`; it is accepted once
- * RP_REPLICA_APPLY names that index with this term. RP_ERR_NO_LEADER on
- * any other replica. */
+/* On the leader: appends a command to the log, sets `*index` to its index and
+ * replicates it. The command is committed once an RP_REPLICA_APPLY action has
+ * an entry of that index and the current term. Returns RP_ERR_NO_LEADER on any
+ * other replica. */
 enum rp_code RpReplica_Propose(struct rp_replica *replica, int64_t now,
                                const GString *command, uint64_t *index);
 
-/* Leader: starts to make sure that its state is the newest there is, by a
- * contact with a majority that begins now. Returns the number of that
- * contact; 0 on any other replica, and until a new leader has committed an
- * entry of its own. */
+/* On the leader: starts a round of heartbeats whose answers confirm that it
+ * is still the leader, so that its state is current. Returns the round's
+ * number, for RpReplica_ReadIsSafe; 0 if this replica is not the leader or has
+ * not committed an entry of its own term. */
 uint64_t RpReplica_StartRead(struct rp_replica *replica, int64_t now);
 
-/* Whether a majority has answered that contact, or a later one, while this
- * replica has led all along. */
+/* Whether a majority of the voters has answered `round` or a later one, and
+ * this replica has been the leader throughout. `term` is the term in which the
+ * round was started. */
 bool RpReplica_ReadIsSafe(const struct rp_replica *replica, uint64_t term,
                           uint64_t round);
 
-/* The member that leads as far as this replica knows, or NULL. */
+/* Returns the leader of the current term if this replica knows it, else NULL.
+ * The replica owns the result. */
 const struct rp_replica_member *
 RpReplica_Leader(const struct rp_replica *replica);
 
-/* A replica wants to be a member. The leader lets it in, in steps; it asks
- * again until it is one. Any other passes the wish on to the leader, which
- * the new one may not know, unless it was `passed_on` already. */
+/* Handles a request of `member` to join the group. The leader starts at most
+ * one change of the members for it; the requester repeats the request until it
+ * is a member. Any other replica forwards the request to the leader, which the
+ * requester may not know, unless it was `forwarded` already. */
 void RpReplica_Join(struct rp_replica *replica, int64_t now,
-                    const struct rp_replica_member *member, bool passed_on);
+                    const struct rp_replica_member *member, bool forwarded);
 
-/* Replaces the log up to the last applied entry by `data`, the state that
- * they lead to. Store RpReplica_Snapshot and the entries left. */
+/* Replaces the log up to the last applied entry by a snapshot of `data`, the
+ * state after that entry. Adds no action: the caller must store
+ * RpReplica_Snapshot and the entries that are left. */
 void RpReplica_Compact(struct rp_replica *replica, const GString *data);
 
-/* The actions since the last call; free with RpReplica_FreeActions. */
+/* Returns the actions (struct rp_replica_action) added since the last call;
+ * free them with RpReplica_FreeActions. */
 GArray *RpReplica_TakeActions(struct rp_replica *replica);
 void RpReplica_FreeActions(GArray *actions);
 
-/* Whether this replica's applied state is fresh: a leader whose lease
- * holds, or a follower that a leader reached within the lease and that has
- * applied all that was committed then. */
+/* Whether this replica's applied state is fresh. A leader is fresh while its
+ * lease is valid and it has committed an entry of its own term. A follower is
+ * fresh for RP_LEASE_US after an append from a leader with a valid lease, once
+ * it has applied all that was committed then. */
 bool RpReplica_IsFresh(const struct rp_replica *replica, int64_t now);
 
 uint64_t RpReplica_Id(const struct rp_replica *replica);
 enum rp_replica_role RpReplica_Role(const struct rp_replica *replica);
+/* Returns "leader", "candidate", "follower" or "learner". */
 const char *RpReplica_RoleName(const struct rp_replica *replica);
 uint64_t RpReplica_Term(const struct rp_replica *replica);
+/* Returns the index of the last entry known to be committed. */
 uint64_t RpReplica_Committed(const struct rp_replica *replica);
 uint64_t RpReplica_LastIndex(const struct rp_replica *replica);
 
-/* Whether this replica should ask others to let it in: it is no member as
- * far as it knows, or it has not heard from a leader for so long that the
- * entry which made it one may have been lost. */
+/* Whether this replica should send join requests: it is not a member as far
+ * as it knows, or it has heard from no leader for RP_REJOIN_US, so the entry
+ * that made it a member may have been lost. */
 bool RpReplica_WantsToJoin(const struct rp_replica *replica, int64_t now);
 
-/* The members in force; the replica itself may not be among them. */
+/* The members (struct rp_replica_member) of the newest list in the log,
+ * committed or not; the replica itself may not be among them. The replica owns
+ * the array. */
 const GArray *RpReplica_Members(const struct rp_replica *replica);
 bool RpReplica_IsMember(const struct rp_replica *replica);
 
-/* What to store after RpReplica_Compact: the vote, the snapshot (NULL if
- * there is none) and the entries behind it, by position. */
+/* What to store after RpReplica_Compact: the term and the vote, the snapshot
+ * (NULL if there is none) and the entries after it, by position from 0. */
 uint64_t RpReplica_VotedFor(const struct rp_replica *replica);
 const struct rp_snapshot *RpReplica_Snapshot(const struct rp_replica *replica);
 size_t RpReplica_EntryCount(const struct rp_replica *replica);
--- a/lib/state/rp_replica_follow.c
+++ b/lib/state/rp_replica_follow.c
@@ -1,21 +1,22 @@
-/* The follower's side: appends and snapshots from the leader. */
+/* The follower's side: appends and snapshot chunks from the leader. */
 #include <assert.h>
 
 #include "rp_replica_internal.h"
 
-/* Whether a message comes from the leader of this or a later term; notes
- * the contact if so. */
+/* Returns false if the message is from an earlier term. Otherwise follows
+ * its sender as the leader of its term, records the contact and restarts the
+ * election timer. */
 static bool
-note_leader(struct rp_replica *replica, int64_t now, uint64_t term,
-            uint64_t leader)
+accept_leader(struct rp_replica *replica, int64_t now, uint64_t term,
+              uint64_t leader)
 {
     if (term < replica->term) {
         return false;
     }
     assert(term > replica->term || replica->role != RP_REPLICA_LEADER);
     RpReplica_BecomeFollower(replica, now, term, leader);
-    replica->leader_seen = now;
-    replica->restarted = false;
+    replica->last_leader_contact = now;
+    replica->no_leader_since_start = false;
     RpReplica_ResetElection(replica, now);
     return true;
 }
@@ -35,9 +36,11 @@
     RpReplica_SendTo(replica, append->from, &msg);
 }
 
-/* Stores one entry of the leader, in place of one that differs. */
+/* Stores one entry of the leader. An entry of another term at its index is
+ * truncated first, with all that follow it. */
 static void
-take_entry(struct rp_replica *replica, const struct rp_log_entry *entry)
+store_leader_entry(struct rp_replica *replica,
+                   const struct rp_log_entry *entry)
 {
     uint64_t term;
 
@@ -53,9 +56,9 @@
     RpReplica_Act(replica, RP_REPLICA_STORE_ENTRY)->entry = added;
 }
 
-/* Whether the entries follow one another from the previous one on. */
+/* Whether the entries have consecutive indexes after the previous index. */
 static bool
-is_in_order(const struct rp_msg_append *append)
+entries_are_consecutive(const struct rp_msg_append *append)
 {
     for (guint i = 0; i < append->entries->len; i++) {
         const struct rp_log_entry *entry = &g_array_index(
@@ -74,20 +77,23 @@
     uint64_t term;
     uint64_t last = append->previous_index + append->entries->len;
 
-    if (!note_leader(replica, now, append->term, append->from)) {
+    if (!accept_leader(replica, now, append->term, append->from)) {
         reply_append(replica, append, false, RpLog_LastIndex(replica));
         return;
     }
     if (append->fresh) {
-        replica->fresh_seen = now;
-        replica->leader_committed = append->committed;
-    }
-    /* What the snapshot covers is committed and agrees in any case. */
-    uint64_t covered = replica->snapshot ? replica->snapshot->index : 0;
-    bool agrees = append->previous_index < covered ||
-                  (RpLog_TermAt(replica, append->previous_index, &term) &&
-                   term == append->previous_term);
-    if (!agrees || !is_in_order(append)) {
+        replica->last_fresh_contact = now;
+        replica->leader_commit_index = append->committed;
+    }
+    /* Entries up to the snapshot's index are committed, so they match the
+     * leader's log and need no check. */
+    uint64_t snapshot_index = replica->snapshot ? replica->snapshot->index : 0;
+    bool log_matches = append->previous_index < snapshot_index ||
+                       (RpLog_TermAt(replica, append->previous_index, &term) &&
+                        term == append->previous_term);
+    if (!log_matches || !entries_are_consecutive(append)) {
+        /* The reply's match index is where the leader retries from: before
+         * the entry that does not match. */
         reply_append(
             replica, append, false,
             MIN(RpLog_LastIndex(replica),
@@ -97,57 +103,62 @@
     for (guint i = 0; i < append->entries->len; i++) {
         const struct rp_log_entry *entry = &g_array_index(
             append->entries, struct rp_log_entry, i);
-        if (entry->index > covered) {
-            take_entry(replica, entry);
+        if (entry->index > snapshot_index) {
+            store_leader_entry(replica, entry);
         }
     }
-    uint64_t agreed = MAX(last, covered);
-    if (append->committed > replica->committed) {
-        replica->committed = MIN(append->committed, agreed);
-        replica->committed = MAX(replica->committed, replica->applied);
+    uint64_t match_index = MAX(last, snapshot_index);
+    if (append->committed > replica->commit_index) {
+        replica->commit_index = MIN(append->committed, match_index);
+        replica->commit_index = MAX(replica->commit_index,
+                                    replica->last_applied);
         RpReplica_ApplyCommitted(replica);
     }
-    reply_append(replica, append, true, agreed);
+    reply_append(replica, append, true, match_index);
 }
 
+/* Tells the leader how many bytes of the snapshot have arrived; it sends the
+ * next chunk from there. */
 static void
-reply_snapshot(struct rp_replica *replica, const struct rp_msg_snapshot *part,
+reply_snapshot(struct rp_replica *replica, const struct rp_msg_snapshot *chunk,
                uint64_t offset)
 {
     struct rp_msg msg = {.type = RP_MSG_SNAPSHOT_REPLY,
                          .snapshot_reply = {.from = replica->id,
-                                            .to = part->from,
+                                            .to = chunk->from,
                                             .term = replica->term,
-                                            .index = part->index,
+                                            .index = chunk->index,
                                             .offset = offset}};
 
-    RpReplica_SendTo(replica, part->from, &msg);
+    RpReplica_SendTo(replica, chunk->from, &msg);
 }
 
 static void
-drop_incoming(struct rp_replica *replica)
+discard_incoming_snapshot(struct rp_replica *replica)
 {
-    if (replica->incoming) {
-        g_string_free(replica->incoming, TRUE);
+    if (replica->incoming_snapshot) {
+        g_string_free(replica->incoming_snapshot, TRUE);
     }
-    replica->incoming = NULL;
+    replica->incoming_snapshot = NULL;
 }
 
-/* All parts are in: takes the snapshot if it is newer than what is here. */
+/* Decodes the complete snapshot and replaces the log and state by it if it
+ * is ahead of the commit index. A snapshot that does not decode is
+ * ignored. */
 static void
-install(struct rp_replica *replica)
+install_snapshot(struct rp_replica *replica)
 {
     struct rp_snapshot snapshot;
-    struct rp_str bytes = {.data = replica->incoming->str,
-                           .len = replica->incoming->len};
+    struct rp_str bytes = {.data = replica->incoming_snapshot->str,
+                           .len = replica->incoming_snapshot->len};
 
     if (!RpSchema_Decode(&rp_snapshot_schema, bytes, &snapshot)) {
         return;
     }
-    if (snapshot.index > replica->committed) {
+    if (snapshot.index > replica->commit_index) {
         RpLog_SetSnapshot(replica, &snapshot);
-        replica->committed = snapshot.index;
-        replica->applied = snapshot.index;
+        replica->commit_index = snapshot.index;
+        replica->last_applied = snapshot.index;
         RpReplica_Act(replica, RP_REPLICA_STORE_SNAPSHOT)->snapshot =
             replica->snapshot;
     }
@@ -156,32 +167,33 @@
 
 void
 RpReplica_OnSnapshot(struct rp_replica *replica, int64_t now,
-                     const struct rp_msg_snapshot *part)
+                     const struct rp_msg_snapshot *chunk)
 {
-    if (!note_leader(replica, now, part->term, part->from)) {
-        reply_snapshot(replica, part, 0);
+    if (!accept_leader(replica, now, chunk->term, chunk->from)) {
+        reply_snapshot(replica, chunk, 0);
         return;
     }
-    if (part->index <= replica->committed) {
-        reply_snapshot(replica, part, part->total);
+    if (chunk->index <= replica->commit_index) {
+        reply_snapshot(replica, chunk, chunk->total);
         return;
     }
-    if (part->offset == 0 || part->index != replica->incoming_index) {
-        drop_incoming(replica);
-        replica->incoming = g_string_new(NULL);
-        replica->incoming_index = part->index;
+    if (chunk->offset == 0 ||
+        chunk->index != replica->incoming_snapshot_index) {
+        discard_incoming_snapshot(replica);
+        replica->incoming_snapshot = g_string_new(NULL);
+        replica->incoming_snapshot_index = chunk->index;
     }
-    if (part->offset != replica->incoming->len) {
-        reply_snapshot(replica, part, replica->incoming->len);
+    if (chunk->offset != replica->incoming_snapshot->len) {
+        reply_snapshot(replica, chunk, replica->incoming_snapshot->len);
         return;
     }
-    g_string_append_len(replica->incoming, part->data->str,
-                        (gssize)part->data->len);
-    uint64_t got = replica->incoming->len;
-    if (got >= part->total) {
-        install(replica);
-        drop_incoming(replica);
-        replica->incoming_index = 0;
+    g_string_append_len(replica->incoming_snapshot, chunk->data->str,
+                        (gssize)chunk->data->len);
+    uint64_t received = replica->incoming_snapshot->len;
+    if (received >= chunk->total) {
+        install_snapshot(replica);
+        discard_incoming_snapshot(replica);
+        replica->incoming_snapshot_index = 0;
     }
-    reply_snapshot(replica, part, got);
+    reply_snapshot(replica, chunk, received);
 }
--- a/lib/state/rp_replica_internal.h
+++ b/lib/state/rp_replica_internal.h
@@ -1,147 +1,197 @@
-/* The replica's own parts, shared by the rp_replica*.c files. */
+/* The state of a replica and the functions that the rp_replica*.c files share;
+ * not for other code. */
 #ifndef RP_REPLICA_INTERNAL_H
 #define RP_REPLICA_INTERNAL_H
 
 #include "rp_replica.h"
 
-/* What a leader knows of another member, and a candidate of a voter. */
+/* What this replica knows about another member: a leader its replication
+ * progress, a candidate its vote. */
 struct rp_peer {
     uint64_t id;
-    uint64_t next;   /* index to send next */
-    uint64_t match;  /* last index known to be stored there */
-    uint64_t round;  /* last contact that it has answered */
-    int64_t contact; /* when that contact was sent */
-    bool waiting;    /* an append is under way */
-    uint64_t snapshot_offset;
-    bool granted;
-    bool restarted; /* has said so, or another process has its address */
+    uint64_t next_index;  /* of the next entry to send */
+    uint64_t match_index; /* last entry known to be stored there */
+    uint64_t acked_round; /* newest round that it has answered */
+    /* When that round was sent; at first, when the peer was added. */
+    int64_t last_contact;
+    bool append_in_flight;    /* an append is not answered yet */
+    uint64_t snapshot_offset; /* of the next chunk to send */
+    bool vote_granted;        /* in the current vote or pre-vote */
+    /* It has heard from no leader since its start, as its vote replies say, or
+     * its process is gone: another one asks to join from its address. */
+    bool restarted;
 };
 
 struct rp_replica {
     uint64_t id;
-    GRand *dice;
+    GRand *rng;      /* for random election timeouts */
     GArray *actions; /* of struct rp_replica_action */
 
-    /* Stored. */
+    /* Stored by store actions, and loaded after a restart. */
     uint64_t term;
     uint64_t voted_for;
-    GPtrArray *log; /* of struct rp_log_entry, behind the snapshot */
+    GPtrArray *log; /* of struct rp_log_entry, after the snapshot */
     struct rp_snapshot *snapshot;
-    GString *snapshot_bytes; /* the same, encoded, for sending */
+    GString *snapshot_bytes; /* `snapshot` encoded, for sending */
 
-    /* Not stored. */
+    /* Lost with the process. */
     enum rp_replica_role role;
-    uint64_t leader;
-    uint64_t committed;
-    uint64_t applied;
-    uint64_t leader_committed; /* as of the last contact */
-    GArray *members;           /* of struct rp_replica_member */
-    GArray *peers;             /* of struct rp_peer */
-    int64_t leader_seen;       /* last contact with a leader */
-    int64_t fresh_seen;        /* the last one while its lease held */
-    bool lease_holds;          /* leader: as of the last event */
+    uint64_t leader_id; /* 0: unknown */
+    uint64_t commit_index;
+    uint64_t last_applied;
+    uint64_t leader_commit_index; /* as of `last_fresh_contact` */
+    GArray *members;              /* of struct rp_replica_member */
+    GArray *peers;                /* of struct rp_peer */
+    int64_t last_leader_contact;  /* when a leader's last message came */
+    int64_t last_fresh_contact;   /* same, of a leader with a valid lease */
+    bool lease_is_valid;          /* leader: as of the last event */
     int64_t election_deadline;
-    bool restarted; /* has not known a leader since its start */
-    int64_t start_trial_deadline;
+    bool no_leader_since_start; /* neither heard from one nor become one */
+    int64_t startup_pre_vote_deadline;
     int64_t heartbeat_deadline;
-    uint64_t round;
-    GArray *round_times;    /* of int64_t, for the last rounds */
-    uint64_t members_index; /* entry that the members come from */
-    GString *incoming;      /* snapshot that is being received */
-    uint64_t incoming_index;
+    uint64_t round;             /* leader: number of the newest broadcast */
+    GArray *round_send_times;   /* of int64_t, of the newest rounds */
+    uint64_t members_index;     /* of the entry that lists `members` */
+    GString *incoming_snapshot; /* the bytes received so far, or NULL */
+    uint64_t incoming_snapshot_index;
 };
 
-/* rp_replica_log.c */
+/* rp_replica_log.c: the log in memory. */
+/* Index and term of the last entry, or of the snapshot if no entry follows it;
+ * 0 if the log is empty. */
 uint64_t RpLog_LastIndex(const struct rp_replica *replica);
 uint64_t RpLog_LastTerm(const struct rp_replica *replica);
-/* The term of an entry; false if it is not there (compacted or future). */
+/* Sets `*term` to the term of an entry. Returns false if the log does not hold
+ * the entry: it was compacted or is not written yet. */
 bool RpLog_TermAt(const struct rp_replica *replica, uint64_t index,
                   uint64_t *term);
+/* Returns an entry, which the log owns; NULL if the log does not hold it. */
 const struct rp_log_entry *RpLog_At(const struct rp_replica *replica,
                                     uint64_t index);
-/* Adds a copy at the end, without a store action. */
+/* Appends a copy of `entry`, which has the next index, without a store
+ * action. Returns the copy. */
 const struct rp_log_entry *RpLog_Add(struct rp_replica *replica,
                                      const struct rp_log_entry *entry);
+/* Deletes the entries from `index` on, none of which is committed, without a
+ * store action. */
 void RpLog_Truncate(struct rp_replica *replica, uint64_t index);
+/* Replaces the log up to the snapshot's index by a copy of it. Entries after
+ * it stay if the log agrees with the snapshot. */
 void RpLog_SetSnapshot(struct rp_replica *replica,
                        const struct rp_snapshot *snapshot);
+/* Frees a snapshot that RpLog_CopySnapshot made; NULL is allowed. */
 void RpLog_FreeSnapshot(struct rp_snapshot *snapshot);
 struct rp_snapshot *RpLog_CopySnapshot(const struct rp_snapshot *snapshot);
-/* The members as of an entry: a later change of them is not in it. Free the
- * list with g_array_free. */
+/* Returns the members (struct rp_replica_member) as of the entry at `index`,
+ * without later changes. Free the list with g_array_free. */
 GArray *RpLog_MembersAt(const struct rp_replica *replica, uint64_t index);
-/* Takes the members from the newest entry or snapshot that has them. */
+/* Sets the members from the newest entry that lists them, or else from the
+ * snapshot. */
 void RpLog_RefreshMembers(struct rp_replica *replica);
 
-/* rp_replica.c */
+/* rp_replica.c: actions, the term and the role, members and quorum. */
+/* Adds an empty action of this kind, for the caller to fill in. */
 struct rp_replica_action *RpReplica_Act(struct rp_replica *replica,
                                         enum rp_replica_action_kind kind);
+/* Adds an action that sends `msg`, and takes over what it owns. */
 void RpReplica_SendTo(struct rp_replica *replica, uint64_t to,
                       struct rp_msg *msg);
+/* Becomes a follower of `leader` (0: unknown); a higher `term` becomes the
+ * current term, with no vote cast in it. */
 void RpReplica_BecomeFollower(struct rp_replica *replica, int64_t now,
                               uint64_t term, uint64_t leader);
+/* Adds an action that stores the term and the vote. */
 void RpReplica_StoreVote(struct rp_replica *replica);
+/* Restarts the election timer with a new random timeout. */
 void RpReplica_ResetElection(struct rp_replica *replica, int64_t now);
+/* Adds apply actions for the committed entries that are not applied yet. */
 void RpReplica_ApplyCommitted(struct rp_replica *replica);
-/* Leader: adds an entry of its term and stores it. */
+/* Appends a new entry of the current term, with a copy of `data` (NULL:
+ * empty), and adds the action that stores it. */
 const struct rp_log_entry *RpReplica_AppendOwn(struct rp_replica *replica,
                                                enum rp_entry_kind kind,
                                                const GString *data);
+/* These return the member or the peer with this id, or NULL. */
 const struct rp_replica_member *
 RpReplica_FindMember(const struct rp_replica *replica, uint64_t id);
-/* A peer by id, or NULL. */
 struct rp_peer *RpReplica_FindPeer(struct rp_replica *replica, uint64_t id);
 bool RpReplica_IsVoter(const struct rp_replica *replica, uint64_t id);
+/* Returns how many voters are a majority. */
 size_t RpReplica_Quorum(const struct rp_replica *replica);
 
-/* rp_replica_vote.c */
+/* rp_replica_vote.c: pre-votes and elections. */
+/* Counts the voters that have granted the current vote or pre-vote; this
+ * replica grants its own. */
 size_t RpReplica_CountGranted(const struct rp_replica *replica);
-/* Asks the voters, or all members in a trial after a start. */
+/* Forgets the votes granted so far and sends a request to all voters, or to
+ * all members for a startup pre-vote. */
 void RpReplica_AskForVotes(struct rp_replica *replica, uint64_t term,
                            enum rp_vote_kind kind);
+/* Becomes a candidate of the next term and votes for itself. */
 void RpReplica_StartElection(struct rp_replica *replica, int64_t now,
                              enum rp_vote_kind kind);
+/* Answers a vote, a pre-vote or a startup pre-vote. */
 void RpReplica_ReplyVote(struct rp_replica *replica,
                          const struct rp_msg_vote *vote, bool granted);
+/* Whether the candidate's log is at least as up to date as this replica's. */
 bool RpReplica_IsUpToDate(const struct rp_replica *replica,
                           const struct rp_msg_vote *vote);
+/* Sends a pre-vote; a majority of grants starts the election. */
 void RpReplica_StartTrial(struct rp_replica *replica, int64_t now);
+/* These handle a message of this kind that is addressed to this replica, here
+ * and below. A higher term in a reply makes this replica a follower. */
 void RpReplica_OnVote(struct rp_replica *replica, int64_t now,
                       const struct rp_msg_vote *vote);
 void RpReplica_OnVoteReply(struct rp_replica *replica, int64_t now,
                            const struct rp_msg_vote_reply *reply);
 
 /* rp_replica_start.c: elections right after a start. */
+/* Sends a startup pre-vote if one is due. */
 void RpReplica_StartTick(struct rp_replica *replica, int64_t now);
 void RpReplica_OnStartTrial(struct rp_replica *replica,
                             const struct rp_msg_vote *vote);
 void RpReplica_OnStartTrialReply(struct rp_replica *replica, int64_t now,
                                  const struct rp_msg_vote_reply *reply);
-/* Another process listens at this address now. */
+/* Records that the process of any other member at the address of `successor`
+ * is gone, because another process uses that address now. Starts the election
+ * if all members are known to have restarted by that. Does nothing if this
+ * replica has had a leader since its start. */
 void RpReplica_NoteSuccessor(struct rp_replica *replica, int64_t now,
                              const struct rp_replica_member *successor);
 
-/* rp_replica_lead.c */
+/* rp_replica_lead.c: the leader's side. */
+/* Becomes the leader of the current term and appends an empty entry, whose
+ * commit also commits the entries of earlier terms. */
 void RpReplica_StartLeading(struct rp_replica *replica, int64_t now);
+/* Removes peers that are no longer members and adds those that are new. */
 void RpReplica_SyncPeers(struct rp_replica *replica, int64_t now);
+/* Starts a round: sends an append to all peers, or, unless it is a heartbeat,
+ * to those without an append in flight. */
 void RpReplica_Broadcast(struct rp_replica *replica, int64_t now,
                          bool heartbeat);
+/* Steps down if no majority has answered for RP_ELECTION_US; sends heartbeats
+ * that are due. */
 void RpReplica_LeaderTick(struct rp_replica *replica, int64_t now);
+/* Raises the commit index to the last entry that a majority has stored, if
+ * that entry is of the current term, and applies what is committed. */
 void RpReplica_AdvanceCommit(struct rp_replica *replica);
-/* When a majority was last in contact; RP_NEVER if the leader is alone. */
+/* Returns when the newest round that a majority has answered was sent;
+ * RP_NEVER if the leader is the only voter. */
 int64_t RpReplica_QuorumContact(const struct rp_replica *replica);
 void RpReplica_OnAppendReply(struct rp_replica *replica, int64_t now,
                              const struct rp_msg_append_reply *reply);
 void RpReplica_OnSnapshotReply(struct rp_replica *replica, int64_t now,
                                const struct rp_msg_snapshot_reply *reply);
 
-/* rp_replica_follow.c */
+/* rp_replica_follow.c: the follower's side. */
 void RpReplica_OnAppend(struct rp_replica *replica, int64_t now,
                         const struct rp_msg_append *append);
 void RpReplica_OnSnapshot(struct rp_replica *replica, int64_t now,
-                          const struct rp_msg_snapshot *part);
+                          const struct rp_msg_snapshot *chunk);
 
-/* rp_replica_members.c */
+/* rp_replica_members.c: changes of the members. */
+/* On the leader: if a learner has caught up, starts the change that makes it a
+ * voter, or first one that removes a voter that no longer answers. */
 void RpReplica_PromoteLearner(struct rp_replica *replica, int64_t now);
 
 #endif
--- a/lib/state/rp_replica_lead.c
+++ b/lib/state/rp_replica_lead.c
@@ -1,10 +1,14 @@
-/* The leader's side: contacts, appends, commits, snapshots for those that
- * are far behind. */
+/* The leader's side: heartbeats, log replication, the commit index, and
+ * snapshots for peers that need entries which the log no longer holds.
+ *
+ * Each broadcast of appends is a round with a number. Replies echo the
+ * number, so the leader knows when the round that a peer has answered was
+ * sent; its lease and confirmed reads rest on that. */
 #include <stdlib.h>
 
 #include "rp_replica_internal.h"
 
-#define ROUNDS_KEPT 64 /* contacts whose time is remembered */
+#define MAX_ROUND_SEND_TIMES 64 /* newest rounds whose send time is kept */
 
 void
 RpReplica_SyncPeers(struct rp_replica *replica, int64_t now)
@@ -19,8 +23,9 @@
         const struct rp_replica_member *member = &g_array_index(
             replica->members, struct rp_replica_member, i);
         const struct rp_peer peer = {.id = member->id,
-                                     .next = RpLog_LastIndex(replica) + 1,
-                                     .contact = now};
+                                     .next_index = RpLog_LastIndex(replica) +
+                                                   1,
+                                     .last_contact = now};
         if (member->id != replica->id &&
             !RpReplica_FindPeer(replica, member->id)) {
             g_array_append_val(replica->peers, peer);
@@ -32,8 +37,8 @@
 RpReplica_StartLeading(struct rp_replica *replica, int64_t now)
 {
     replica->role = RP_REPLICA_LEADER;
-    replica->restarted = false;
-    replica->leader = replica->id;
+    replica->no_leader_since_start = false;
+    replica->leader_id = replica->id;
     g_array_set_size(replica->peers, 0);
     RpReplica_SyncPeers(replica, now);
     RpReplica_AppendOwn(replica, RP_ENTRY_NOTHING, NULL);
@@ -41,31 +46,33 @@
     RpReplica_Broadcast(replica, now, true);
 }
 
-/* The time at which a contact was sent; only the last ones are kept. */
+/* Returns when a round was sent; 0 if that is no longer known or the round
+ * does not exist. */
 static int64_t
-time_of_round(const struct rp_replica *replica, uint64_t round)
+find_round_send_time(const struct rp_replica *replica, uint64_t round)
 {
     uint64_t age = replica->round - round;
 
-    if (round > replica->round || age >= replica->round_times->len) {
+    if (round > replica->round || age >= replica->round_send_times->len) {
         return 0;
     }
-    return g_array_index(replica->round_times, int64_t,
-                         replica->round_times->len - 1 - age);
+    return g_array_index(replica->round_send_times, int64_t,
+                         replica->round_send_times->len - 1 - age);
 }
 
+/* Starts a new round and records when it is sent. */
 static void
-start_round(struct rp_replica *replica, int64_t now)
+begin_round(struct rp_replica *replica, int64_t now)
 {
     replica->round++;
-    if (replica->round_times->len == ROUNDS_KEPT) {
-        g_array_remove_index(replica->round_times, 0);
+    if (replica->round_send_times->len == MAX_ROUND_SEND_TIMES) {
+        g_array_remove_index(replica->round_send_times, 0);
     }
-    g_array_append_val(replica->round_times, now);
+    g_array_append_val(replica->round_send_times, now);
 }
 
 static void
-send_snapshot_part(struct rp_replica *replica, struct rp_peer *peer)
+send_snapshot_chunk(struct rp_replica *replica, struct rp_peer *peer)
 {
     const GString *bytes = replica->snapshot_bytes;
     uint64_t offset = MIN(peer->snapshot_offset, bytes->len);
@@ -83,6 +90,8 @@
     RpReplica_SendTo(replica, peer->id, &msg);
 }
 
+/* Sends the entries from the peer's next index on, or none as a heartbeat;
+ * a chunk of the snapshot if the log no longer holds the entry before. */
 static void
 send_append(struct rp_replica *replica, struct rp_peer *peer)
 {
@@ -91,20 +100,21 @@
         .append = {.from = replica->id,
                    .to = peer->id,
                    .term = replica->term,
-                   .previous_index = peer->next - 1,
-                   .committed = replica->committed,
+                   .previous_index = peer->next_index - 1,
+                   .committed = replica->commit_index,
                    .round = replica->round,
-                   .fresh = replica->lease_holds,
+                   .fresh = replica->lease_is_valid,
                    .entries = RpSchema_NewList(&rp_log_entry_schema)}};
     struct rp_msg_append *append = &msg.append;
 
-    if (!RpLog_TermAt(replica, peer->next - 1, &append->previous_term)) {
+    if (!RpLog_TermAt(replica, peer->next_index - 1, &append->previous_term)) {
         RpMsg_Clear(&msg);
-        send_snapshot_part(replica, peer);
+        send_snapshot_chunk(replica, peer);
         return;
     }
     for (uint64_t i = 0; i < RP_APPEND_MAX_ENTRIES; i++) {
-        const struct rp_log_entry *entry = RpLog_At(replica, peer->next + i);
+        const struct rp_log_entry *entry = RpLog_At(replica,
+                                                    peer->next_index + i);
         if (!entry) {
             break;
         }
@@ -115,19 +125,19 @@
         copy->data = g_string_new_len(entry->data->str,
                                       (gssize)entry->data->len);
     }
-    peer->waiting = true;
+    peer->append_in_flight = true;
     RpReplica_SendTo(replica, peer->id, &msg);
 }
 
 void
 RpReplica_Broadcast(struct rp_replica *replica, int64_t now, bool heartbeat)
 {
-    start_round(replica, now);
-    replica->lease_holds = RpReplica_IsFresh(replica, now);
+    begin_round(replica, now);
+    replica->lease_is_valid = RpReplica_IsFresh(replica, now);
     for (guint i = 0; i < replica->peers->len; i++) {
         struct rp_peer *peer = &g_array_index(replica->peers, struct rp_peer,
                                               i);
-        if (heartbeat || !peer->waiting) {
+        if (heartbeat || !peer->append_in_flight) {
             send_append(replica, peer);
         }
     }
@@ -135,7 +145,7 @@
 }
 
 static int
-compare_times_down(const void *a, const void *b)
+compare_times_descending(const void *a, const void *b)
 {
     int64_t left = *(const int64_t *)a;
     int64_t right = *(const int64_t *)b;
@@ -148,24 +158,24 @@
 {
     int64_t times[RP_REPLICA_MAX];
     size_t count = 0;
-    size_t others = RpReplica_Quorum(replica) -
-                    RpReplica_IsVoter(replica, replica->id);
+    size_t other_votes_needed = RpReplica_Quorum(replica) -
+                                RpReplica_IsVoter(replica, replica->id);
 
-    if (others == 0) {
+    if (other_votes_needed == 0) {
         return RP_NEVER;
     }
     for (guint i = 0; i < replica->peers->len; i++) {
         const struct rp_peer *peer = &g_array_index(replica->peers,
                                                     struct rp_peer, i);
         if (RpReplica_IsVoter(replica, peer->id)) {
-            times[count++] = peer->contact;
+            times[count++] = peer->last_contact;
         }
     }
-    if (count < others) {
+    if (count < other_votes_needed) {
         return 0;
     }
-    qsort(times, count, sizeof *times, compare_times_down);
-    return times[others - 1];
+    qsort(times, count, sizeof *times, compare_times_descending);
+    return times[other_votes_needed - 1];
 }
 
 void
@@ -181,17 +191,19 @@
     }
 }
 
+/* Counts the voters, this replica included, that have stored the entry. */
 static size_t
-count_stored(const struct rp_replica *replica, uint64_t index)
+count_voters_with_entry(const struct rp_replica *replica, uint64_t index)
 {
-    size_t stored = RpReplica_IsVoter(replica, replica->id);
+    size_t count = RpReplica_IsVoter(replica, replica->id);
 
     for (guint i = 0; i < replica->peers->len; i++) {
         const struct rp_peer *peer = &g_array_index(replica->peers,
                                                     struct rp_peer, i);
-        stored += peer->match >= index && RpReplica_IsVoter(replica, peer->id);
+        count += peer->match_index >= index &&
+                 RpReplica_IsVoter(replica, peer->id);
     }
-    return stored;
+    return count;
 }
 
 void
@@ -200,14 +212,17 @@
     uint64_t term = 0;
     uint64_t index = RpLog_LastIndex(replica);
 
-    /* Only entries of the leader's own term are committed by counting. */
-    while (index > replica->committed &&
-           count_stored(replica, index) < RpReplica_Quorum(replica)) {
+    /* A majority that stores an entry of an earlier term does not commit it:
+     * a later leader could still overwrite it. Such entries are committed
+     * together with the first entry of this leader's term. */
+    while (index > replica->commit_index &&
+           count_voters_with_entry(replica, index) <
+               RpReplica_Quorum(replica)) {
         index--;
     }
-    if (index > replica->committed && RpLog_TermAt(replica, index, &term) &&
+    if (index > replica->commit_index && RpLog_TermAt(replica, index, &term) &&
         term == replica->term) {
-        replica->committed = index;
+        replica->commit_index = index;
         RpReplica_ApplyCommitted(replica);
     }
 }
@@ -226,31 +241,32 @@
         !peer) {
         return;
     }
-    peer->waiting = false;
-    if (reply->round > peer->round) {
-        peer->round = reply->round;
-        peer->contact = MAX(peer->contact,
-                            time_of_round(replica, reply->round));
+    peer->append_in_flight = false;
+    if (reply->round > peer->acked_round) {
+        peer->acked_round = reply->round;
+        peer->last_contact = MAX(peer->last_contact,
+                                 find_round_send_time(replica, reply->round));
     }
-    bool held = replica->lease_holds;
-    replica->lease_holds = RpReplica_IsFresh(replica, now);
+    bool lease_was_valid = replica->lease_is_valid;
+    replica->lease_is_valid = RpReplica_IsFresh(replica, now);
     if (!reply->accepted) {
-        peer->next = MIN(peer->next - 1, reply->match + 1);
-        peer->next = MAX(peer->next, peer->match + 1);
+        peer->next_index = MIN(peer->next_index - 1, reply->match + 1);
+        peer->next_index = MAX(peer->next_index, peer->match_index + 1);
         peer->snapshot_offset = 0;
         send_append(replica, peer);
         return;
     }
-    peer->match = MAX(peer->match, reply->match);
-    peer->next = MAX(peer->next, peer->match + 1);
+    peer->match_index = MAX(peer->match_index, reply->match);
+    peer->next_index = MAX(peer->next_index, peer->match_index + 1);
     RpReplica_AdvanceCommit(replica);
-    replica->lease_holds = RpReplica_IsFresh(replica, now);
-    if (replica->lease_holds && !held) {
-        /* Followers give out no first tables until they know. */
+    replica->lease_is_valid = RpReplica_IsFresh(replica, now);
+    if (replica->lease_is_valid && !lease_was_valid) {
+        /* A follower sends no node its first table until it knows that the
+         * leader's lease is valid, so tell all followers now. */
         RpReplica_Broadcast(replica, now, true);
         return;
     }
-    if (peer->next <= RpLog_LastIndex(replica)) {
+    if (peer->next_index <= RpLog_LastIndex(replica)) {
         send_append(replica, peer);
     }
 }
@@ -270,13 +286,13 @@
         reply->index != replica->snapshot->index) {
         return;
     }
-    replica->lease_holds = RpReplica_IsFresh(replica, now);
+    replica->lease_is_valid = RpReplica_IsFresh(replica, now);
     peer->snapshot_offset = reply->offset;
     if (reply->offset < replica->snapshot_bytes->len) {
-        send_snapshot_part(replica, peer);
+        send_snapshot_chunk(replica, peer);
         return;
     }
-    peer->match = MAX(peer->match, reply->index);
-    peer->next = MAX(peer->next, reply->index + 1);
+    peer->match_index = MAX(peer->match_index, reply->index);
+    peer->next_index = MAX(peer->next_index, reply->index + 1);
     send_append(replica, peer);
 }
--- a/lib/state/rp_replica_log.c
+++ b/lib/state/rp_replica_log.c
@@ -1,4 +1,4 @@
-/* The log in memory: entries behind a snapshot. */
+/* The log in memory: an optional snapshot and the entries after it. */
 #include <assert.h>
 
 #include "rp_replica_internal.h"
@@ -70,7 +70,7 @@
 {
     uint64_t first = snapshot_index(replica) + 1;
 
-    assert(index >= first && index > replica->committed);
+    assert(index >= first && index > replica->commit_index);
     if (index <= RpLog_LastIndex(replica)) {
         g_ptr_array_set_size(replica->log, (gint)(index - first));
         RpLog_RefreshMembers(replica);
@@ -110,7 +110,8 @@
     bool agrees = RpLog_TermAt(replica, snapshot->index, &term) &&
                   term == snapshot->term;
 
-    /* Entries behind the snapshot stay if the log leads up to it. */
+    /* Keep the entries after the snapshot only if the log holds the
+     * snapshot's last entry with the same term. */
     if (!agrees) {
         g_ptr_array_set_size(replica->log, 0);
     }
@@ -128,9 +129,10 @@
     RpLog_RefreshMembers(replica);
 }
 
-/* Appends the members that an entry holds; false if it has none. */
+/* Appends the members that an entry lists to `list`. Returns false if the
+ * entry is of another kind or does not decode. */
 static bool
-take_members(const struct rp_log_entry *entry, GArray *list)
+append_entry_members(const struct rp_log_entry *entry, GArray *list)
 {
     struct rp_replica_members members;
     struct rp_str bytes = {.data = entry->data->str, .len = entry->data->len};
@@ -144,15 +146,17 @@
     return true;
 }
 
-/* As RpLog_MembersAt; `*source` gets the entry that they come from. */
+/* Does what RpLog_MembersAt does; also sets `*source_index` to the index of
+ * the entry, or of the snapshot, that lists the members. */
 static GArray *
-find_members(const struct rp_replica *replica, uint64_t index,
-             uint64_t *source)
+find_members_at(const struct rp_replica *replica, uint64_t index,
+                uint64_t *source_index)
 {
     GArray *list = RpSchema_NewList(&rp_replica_member_schema);
 
-    for (*source = index; *source > snapshot_index(replica); (*source)--) {
-        if (take_members(RpLog_At(replica, *source), list)) {
+    for (*source_index = index; *source_index > snapshot_index(replica);
+         (*source_index)--) {
+        if (append_entry_members(RpLog_At(replica, *source_index), list)) {
             return list;
         }
     }
@@ -166,15 +170,15 @@
 GArray *
 RpLog_MembersAt(const struct rp_replica *replica, uint64_t index)
 {
-    uint64_t source;
+    uint64_t source_index;
 
-    return find_members(replica, index, &source);
+    return find_members_at(replica, index, &source_index);
 }
 
 void
 RpLog_RefreshMembers(struct rp_replica *replica)
 {
     g_array_free(replica->members, TRUE);
-    replica->members = find_members(replica, RpLog_LastIndex(replica),
-                                    &replica->members_index);
+    replica->members = find_members_at(replica, RpLog_LastIndex(replica),
+                                       &replica->members_index);
 }
--- a/lib/state/rp_replica_members.c
+++ b/lib/state/rp_replica_members.c
@@ -1,22 +1,25 @@
-/* Changes of the members: one at a time, a learner before a voter. */
+/* Changes of the members, one at a time: a new member joins as a learner and
+ * becomes a voter once it has caught up. */
 #include "rp_replica_internal.h"
 
-/* How close to the end of the log a learner must be to get its vote. */
-#define CAUGHT_UP_ENTRIES 8
+/* How many entries a learner may be behind the log when it becomes a voter. */
+#define CAUGHT_UP_MAX_LAG 8
 
-/* A change may start when the last one is committed and the leader has
- * committed something in its own term. */
+/* A leader may start a change once the previous one is committed and it has
+ * committed an entry of its own term. */
 static bool
-may_change(const struct rp_replica *replica)
+can_change_members(const struct rp_replica *replica)
 {
     uint64_t term = 0;
 
     return replica->role == RP_REPLICA_LEADER &&
-           replica->members_index <= replica->committed &&
-           RpLog_TermAt(replica, replica->committed, &term) &&
+           replica->members_index <= replica->commit_index &&
+           RpLog_TermAt(replica, replica->commit_index, &term) &&
            term == replica->term;
 }
 
+/* Appends the new list of members, which takes effect at once, and
+ * replicates it. */
 static void
 propose_members(struct rp_replica *replica, int64_t now, GArray *list)
 {
@@ -39,11 +42,11 @@
     return list;
 }
 
-/* The position of the member with this name or at this address; -1 if there
- * is none. */
+/* Returns the position of the member with the same name or address; -1 if
+ * there is none. */
 static int
-find_same_seat(const struct rp_replica *replica,
-               const struct rp_replica_member *member)
+find_member_by_name_or_address(const struct rp_replica *replica,
+                               const struct rp_replica_member *member)
 {
     for (guint i = 0; i < replica->members->len; i++) {
         const struct rp_replica_member *other = &g_array_index(
@@ -57,52 +60,55 @@
     return -1;
 }
 
+/* Sends the join request to the leader if it is known. */
 static void
-pass_on_join(struct rp_replica *replica,
+forward_join(struct rp_replica *replica,
              const struct rp_replica_member *member)
 {
     struct rp_msg msg = {.type = RP_MSG_JOIN, .join = {.member = *member}};
 
-    if (replica->leader != 0 && replica->leader != replica->id) {
-        RpReplica_SendTo(replica, replica->leader, &msg);
+    if (replica->leader_id != 0 && replica->leader_id != replica->id) {
+        RpReplica_SendTo(replica, replica->leader_id, &msg);
     }
 }
 
 void
 RpReplica_Join(struct rp_replica *replica, int64_t now,
-               const struct rp_replica_member *member, bool passed_on)
+               const struct rp_replica_member *member, bool forwarded)
 {
     if (replica->role != RP_REPLICA_LEADER) {
-        if (!passed_on) {
+        if (!forwarded) {
             RpReplica_NoteSuccessor(replica, now, member);
-            pass_on_join(replica, member);
+            forward_join(replica, member);
         }
         return;
     }
     const struct rp_replica_member *known = RpReplica_FindMember(replica,
                                                                  member->id);
-    int same_seat = find_same_seat(replica, member);
-
-    bool is_my_seat = same_seat >= 0 &&
-                      g_array_index(replica->members, struct rp_replica_member,
-                                    same_seat)
-                              .id == replica->id;
-
-    if (!may_change(replica) || member->id == 0 || is_my_seat ||
+    int position = find_member_by_name_or_address(replica, member);
+    bool collides_with_self = position >= 0 &&
+                              g_array_index(replica->members,
+                                            struct rp_replica_member, position)
+                                      .id == replica->id;
+
+    if (!can_change_members(replica) || member->id == 0 ||
+        collides_with_self ||
         (known && known->ip == member->ip && known->port == member->port)) {
         return;
     }
     GArray *list = copy_members(replica);
     if (known) {
-        struct rp_replica_member *mine = &g_array_index(
-            list, struct rp_replica_member, (guint)same_seat);
-        mine->ip = member->ip;
-        mine->port = member->port;
+        /* The replica has a new address. */
+        struct rp_replica_member *updated = &g_array_index(
+            list, struct rp_replica_member, (guint)position);
+        updated->ip = member->ip;
+        updated->port = member->port;
         propose_members(replica, now, list);
     }
-    else if (same_seat >= 0) {
-        /* Its disk was lost: the old one goes first. */
-        g_array_remove_index(list, (guint)same_seat);
+    else if (position >= 0) {
+        /* The replica lost its disk and has a new id: remove the member with
+         * the old id. A later request adds the new one. */
+        g_array_remove_index(list, (guint)position);
         propose_members(replica, now, list);
     }
     else if (list->len < RP_REPLICA_MAX) {
@@ -114,18 +120,18 @@
     g_array_free(list, TRUE);
 }
 
-/* Whether a member has stored all but the newest entries. */
+/* Whether a member lags by at most CAUGHT_UP_MAX_LAG entries. */
 static bool
 is_caught_up(struct rp_replica *replica, uint64_t id)
 {
     const struct rp_peer *peer = RpReplica_FindPeer(replica, id);
 
-    return peer && peer->match > 0 &&
-           peer->match + CAUGHT_UP_ENTRIES >= RpLog_LastIndex(replica);
+    return peer && peer->match_index > 0 &&
+           peer->match_index + CAUGHT_UP_MAX_LAG >= RpLog_LastIndex(replica);
 }
 
 static struct rp_replica_member *
-first_learner(struct rp_replica *replica)
+find_caught_up_learner(struct rp_replica *replica)
 {
     for (guint i = 0; i < replica->members->len; i++) {
         struct rp_replica_member *member = &g_array_index(
@@ -137,16 +143,17 @@
     return NULL;
 }
 
-/* The position of a voter that has been silent for long; -1 if there is
- * none. */
+/* Returns the position of a voter that has answered nothing sent within the
+ * last RP_REPLACE_US; -1 if there is none. */
 static int
-find_silent_voter(struct rp_replica *replica, int64_t now)
+find_unresponsive_voter(struct rp_replica *replica, int64_t now)
 {
     for (guint i = 0; i < replica->members->len; i++) {
         const struct rp_replica_member *member = &g_array_index(
             replica->members, struct rp_replica_member, i);
         const struct rp_peer *peer = RpReplica_FindPeer(replica, member->id);
-        if (member->voter && peer && peer->contact < now - RP_REPLACE_US) {
+        if (member->voter && peer &&
+            peer->last_contact < now - RP_REPLACE_US) {
             return (int)i;
         }
     }
@@ -156,8 +163,8 @@
 void
 RpReplica_PromoteLearner(struct rp_replica *replica, int64_t now)
 {
-    struct rp_replica_member *learner = may_change(replica)
-                                            ? first_learner(replica)
+    struct rp_replica_member *learner = can_change_members(replica)
+                                            ? find_caught_up_learner(replica)
                                             : NULL;
 
     if (!learner) {
@@ -166,11 +173,13 @@
     guint position =
         (guint)(learner -
                 (struct rp_replica_member *)(void *)replica->members->data);
-    int silent = find_silent_voter(replica, now);
+    int unresponsive = find_unresponsive_voter(replica, now);
     GArray *list = copy_members(replica);
-    if (silent >= 0) {
-        /* The learner is to take its place, not to stand beside it. */
-        g_array_remove_index(list, (guint)silent);
+    if (unresponsive >= 0) {
+        /* Remove the unresponsive voter first; the learner becomes a voter in
+         * the next change. Otherwise the dead voter would still count towards
+         * the quorum. */
+        g_array_remove_index(list, (guint)unresponsive);
     }
     else {
         g_array_index(list, struct rp_replica_member, position).voter = 1;
--- a/lib/state/rp_replica_start.c
+++ b/lib/state/rp_replica_start.c
@@ -1,27 +1,33 @@
 /* Elections right after a start.
  *
- * A replica that starts must not vote at once: a leader that it answered
- * before may still live, and trust its lease. Where every member's process
- * has started anew, there is none, and nothing is to be waited for. To find
- * that out, replicas that have not known a leader since their start ask all
- * members, learners too, in a trial of its own. It is won only if each member
- * answers that it has not known a leader since its start either; a member
- * whose disk was lost cannot answer, but whoever asks to join from its
- * address shows that its process is gone. What was once heard stays true: a
- * process that has become leader since has a majority of a higher term behind
- * it, and that majority grants nothing.
+ * A replica must not vote as soon as it starts: it may have acknowledged a
+ * leader before it stopped, and that leader may still run and rely on its
+ * lease. If every member's process has restarted, no such leader exists and
+ * there is no lease to wait for. To find that out, a replica that has not
+ * heard from a leader since its start sends a startup pre-vote to all
+ * members, learners included. A member grants it only if it has not heard
+ * from a leader since its own start. The startup pre-vote succeeds once every
+ * other member is known to have restarted and a majority of the voters has
+ * granted it. A member that lost its disk has a new id and cannot answer
+ * under the old one; a join request from its address proves that the old
+ * process is gone.
  *
- * Each voter grants this trial only to a candidate that goes before itself:
- * the newest log, then the lowest id. So one of them wins it, and the real
- * election that follows is not split. Where it cannot be won, the elections
- * of rp_replica_vote.c come in their time. */
+ * An answer never becomes wrong later: if a member that reported its restart
+ * becomes leader afterwards, a majority has voted in a higher term and
+ * refuses this candidate's term.
+ *
+ * A voter grants the startup pre-vote only to a candidate with priority over
+ * itself: the more up-to-date log, then the lower id. So a single candidate
+ * succeeds, and the election after it has no split vote. If no startup
+ * pre-vote can succeed, the elections of rp_replica_vote.c follow when their
+ * timeout expires. */
 #include "rp_replica_internal.h"
 
-/* Between two trials of this kind: two ticks of the control role, which is
- * about what a connection between replicas that start together takes. */
-#define START_TRIAL_US (40 * RP_US_PER_MS)
+/* Time between two startup pre-votes: two ticks of the control role, about as
+ * long as replicas that start together need to connect to each other. */
+#define STARTUP_PRE_VOTE_INTERVAL_US (40 * RP_US_PER_MS)
 
-/* Whether every member's process is known to have started anew. */
+/* Whether every other member's process is known to have restarted. */
 static bool
 all_restarted(const struct rp_replica *replica)
 {
@@ -33,10 +39,12 @@
     return true;
 }
 
+/* Starts the election if the startup pre-vote has succeeded. */
 static void
-elect_if_decided(struct rp_replica *replica, int64_t now)
+start_election_if_all_restarted(struct rp_replica *replica, int64_t now)
 {
-    if (replica->restarted && replica->role == RP_REPLICA_FOLLOWER &&
+    if (replica->no_leader_since_start &&
+        replica->role == RP_REPLICA_FOLLOWER &&
         RpReplica_IsVoter(replica, replica->id) && all_restarted(replica) &&
         RpReplica_CountGranted(replica) >= RpReplica_Quorum(replica)) {
         RpReplica_StartElection(replica, now, RP_VOTE_AFTER_START);
@@ -46,18 +54,21 @@
 void
 RpReplica_StartTick(struct rp_replica *replica, int64_t now)
 {
-    if (!replica->restarted || replica->role != RP_REPLICA_FOLLOWER ||
-        now < replica->start_trial_deadline) {
+    if (!replica->no_leader_since_start ||
+        replica->role != RP_REPLICA_FOLLOWER ||
+        now < replica->startup_pre_vote_deadline) {
         return;
     }
-    replica->start_trial_deadline = now + START_TRIAL_US;
+    replica->startup_pre_vote_deadline = now + STARTUP_PRE_VOTE_INTERVAL_US;
     RpReplica_SyncPeers(replica, now);
     RpReplica_AskForVotes(replica, replica->term + 1, RP_VOTE_START_TRIAL);
 }
 
-/* Whether the candidate goes before this replica. */
+/* Whether the candidate's log is more up to date than this replica's, or is
+ * the same and the candidate's id is lower. */
 static bool
-goes_first(const struct rp_replica *replica, const struct rp_msg_vote *vote)
+candidate_has_priority(const struct rp_replica *replica,
+                       const struct rp_msg_vote *vote)
 {
     bool same_log = vote->last_term == RpLog_LastTerm(replica) &&
                     vote->last_index == RpLog_LastIndex(replica);
@@ -71,9 +82,10 @@
                        const struct rp_msg_vote *vote)
 {
     RpReplica_ReplyVote(replica, vote,
-                        replica->restarted && vote->term > replica->term &&
+                        replica->no_leader_since_start &&
+                            vote->term > replica->term &&
                             (!RpReplica_IsVoter(replica, replica->id) ||
-                             goes_first(replica, vote)));
+                             candidate_has_priority(replica, vote)));
 }
 
 void
@@ -83,9 +95,9 @@
     struct rp_peer *peer = RpReplica_FindPeer(replica, reply->from);
 
     if (peer && reply->term == replica->term + 1) {
-        peer->granted = true;
+        peer->vote_granted = true;
         peer->restarted = true;
-        elect_if_decided(replica, now);
+        start_election_if_all_restarted(replica, now);
     }
 }
 
@@ -93,7 +105,7 @@
 RpReplica_NoteSuccessor(struct rp_replica *replica, int64_t now,
                         const struct rp_replica_member *successor)
 {
-    if (!replica->restarted) {
+    if (!replica->no_leader_since_start) {
         return;
     }
     RpReplica_SyncPeers(replica, now);
@@ -107,5 +119,5 @@
             peer->restarted = true;
         }
     }
-    elect_if_decided(replica, now);
+    start_election_if_all_restarted(replica, now);
 }
--- a/lib/state/rp_replica_vote.c
+++ b/lib/state/rp_replica_vote.c
@@ -1,5 +1,8 @@
-/* Elections: a trial round first, then the votes. Those of a group that has
- * just started are in rp_replica_start.c. */
+/* Elections: a pre-vote, then the election proper. The pre-vote asks the
+ * voters whether they would grant a vote in the next term and changes no
+ * term, so a replica that cannot win does not depose a working leader.
+ * rp_replica_start.c holds the faster election of a group whose members have
+ * all just started. */
 #include "rp_replica_internal.h"
 
 size_t
@@ -10,7 +13,7 @@
     for (guint i = 0; i < replica->peers->len; i++) {
         const struct rp_peer *peer = &g_array_index(replica->peers,
                                                     struct rp_peer, i);
-        granted += peer->granted && RpReplica_IsVoter(replica, peer->id);
+        granted += peer->vote_granted && RpReplica_IsVoter(replica, peer->id);
     }
     return granted;
 }
@@ -29,7 +32,7 @@
                                       .kind = (uint8_t)kind,
                                       .last_index = RpLog_LastIndex(replica),
                                       .last_term = RpLog_LastTerm(replica)}};
-        peer->granted = false;
+        peer->vote_granted = false;
         if (kind == RP_VOTE_START_TRIAL ||
             RpReplica_IsVoter(replica, peer->id)) {
             RpReplica_SendTo(replica, peer->id, &msg);
@@ -42,7 +45,7 @@
                         enum rp_vote_kind kind)
 {
     replica->role = RP_REPLICA_CANDIDATE;
-    replica->leader = 0;
+    replica->leader_id = 0;
     replica->term++;
     replica->voted_for = replica->id;
     RpReplica_StoreVote(replica);
@@ -56,7 +59,7 @@
 RpReplica_StartTrial(struct rp_replica *replica, int64_t now)
 {
     replica->role = RP_REPLICA_TRIAL;
-    replica->leader = 0;
+    replica->leader_id = 0;
     RpReplica_ResetElection(replica, now);
     RpReplica_SyncPeers(replica, now);
     RpReplica_AskForVotes(replica, replica->term + 1, RP_VOTE_TRIAL);
@@ -76,14 +79,15 @@
             vote->last_index >= RpLog_LastIndex(replica));
 }
 
-/* Whether a leader is at work, as far as this replica knows. */
+/* Whether this replica has evidence of a working leader within the last
+ * election timeout. A leader counts itself while a majority answers it. */
 static bool
-has_leader(const struct rp_replica *replica, int64_t now)
+has_live_leader(const struct rp_replica *replica, int64_t now)
 {
     if (replica->role == RP_REPLICA_LEADER) {
         return RpReplica_QuorumContact(replica) > now - RP_ELECTION_US;
     }
-    return now - replica->leader_seen < RP_ELECTION_US;
+    return now - replica->last_leader_contact < RP_ELECTION_US;
 }
 
 void
@@ -101,31 +105,36 @@
     RpReplica_SendTo(replica, vote->from, &reply);
 }
 
+/* Grants or refuses a pre-vote. This changes neither the term nor the stored
+ * vote. */
 static void
-on_trial(struct rp_replica *replica, int64_t now,
-         const struct rp_msg_vote *vote)
+handle_pre_vote(struct rp_replica *replica, int64_t now,
+                const struct rp_msg_vote *vote)
 {
     RpReplica_ReplyVote(replica, vote,
-                        !has_leader(replica, now) &&
+                        !has_live_leader(replica, now) &&
                             vote->term > replica->term &&
                             RpReplica_IsUpToDate(replica, vote));
 }
 
+/* Grants or refuses a vote that counts; stores the vote before the reply. */
 static void
-on_real_vote(struct rp_replica *replica, int64_t now,
-             const struct rp_msg_vote *vote)
+handle_vote_request(struct rp_replica *replica, int64_t now,
+                    const struct rp_msg_vote *vote)
 {
-    /* Of what this process knows, only the time since its start speaks for a
-     * leader, and the candidate knows that there is none. */
-    bool knows_better = vote->kind == RP_VOTE_AFTER_START &&
-                        replica->restarted;
-    bool free_to = knows_better || !has_leader(replica, now);
+    /* A replica that has not heard from a leader since its start refuses
+     * votes only because a leader from before the start may still hold a
+     * lease. A candidate that has found that every member has restarted
+     * knows that no such leader exists. */
+    bool may_ignore_leader = vote->kind == RP_VOTE_AFTER_START &&
+                             replica->no_leader_since_start;
+    bool may_vote = may_ignore_leader || !has_live_leader(replica, now);
     bool granted = false;
 
-    if (free_to && vote->term > replica->term) {
+    if (may_vote && vote->term > replica->term) {
         RpReplica_BecomeFollower(replica, now, vote->term, 0);
     }
-    if (free_to && vote->term == replica->term &&
+    if (may_vote && vote->term == replica->term &&
         (replica->voted_for == 0 || replica->voted_for == vote->from) &&
         RpReplica_IsUpToDate(replica, vote)) {
         granted = true;
@@ -145,38 +154,41 @@
         RpReplica_OnStartTrial(replica, vote);
         break;
     case RP_VOTE_TRIAL:
-        on_trial(replica, now, vote);
+        handle_pre_vote(replica, now, vote);
         break;
     case RP_VOTE_REAL:
     case RP_VOTE_AFTER_START:
-        on_real_vote(replica, now, vote);
+        handle_vote_request(replica, now, vote);
         break;
     }
 }
 
+/* Counts a granted pre-vote; a majority starts the election. */
 static void
-on_trial_reply(struct rp_replica *replica, int64_t now, struct rp_peer *peer,
-               const struct rp_msg_vote_reply *reply)
+handle_pre_vote_reply(struct rp_replica *replica, int64_t now,
+                      struct rp_peer *peer,
+                      const struct rp_msg_vote_reply *reply)
 {
     if (replica->role != RP_REPLICA_TRIAL ||
         reply->term != replica->term + 1) {
         return;
     }
-    peer->granted = true;
+    peer->vote_granted = true;
     if (RpReplica_CountGranted(replica) >= RpReplica_Quorum(replica)) {
         RpReplica_StartElection(replica, now, RP_VOTE_REAL);
     }
 }
 
+/* Counts a granted vote; a majority makes this replica the leader. */
 static void
-on_real_reply(struct rp_replica *replica, int64_t now, struct rp_peer *peer,
-              const struct rp_msg_vote_reply *reply)
+handle_vote_reply(struct rp_replica *replica, int64_t now,
+                  struct rp_peer *peer, const struct rp_msg_vote_reply *reply)
 {
     if (replica->role != RP_REPLICA_CANDIDATE ||
         reply->term != replica->term) {
         return;
     }
-    peer->granted = true;
+    peer->vote_granted = true;
     if (RpReplica_CountGranted(replica) >= RpReplica_Quorum(replica)) {
         RpReplica_StartLeading(replica, now);
     }
@@ -200,11 +212,11 @@
         RpReplica_OnStartTrialReply(replica, now, reply);
         break;
     case RP_VOTE_TRIAL:
-        on_trial_reply(replica, now, peer, reply);
+        handle_pre_vote_reply(replica, now, peer, reply);
         break;
     case RP_VOTE_REAL:
     case RP_VOTE_AFTER_START:
-        on_real_reply(replica, now, peer, reply);
+        handle_vote_reply(replica, now, peer, reply);
         break;
     }
 }
