--- a/lib/state/rp_journal.c
+++ b/lib/state/rp_journal.c
@@ -1,3 +1,5 @@
+/* The journal's file: its format, replay and recovery after a crash, and the
+ * writes that make records durable. */
 #include "rp_journal.h"
 
 #include <assert.h>
@@ -13,25 +15,25 @@
 #include "rp_bytes.h"
 
 #define FILE_NAME "journal"
-#define NEW_FILE_NAME "journal.new"
+#define TEMP_FILE_NAME "journal.new"
 #define FOLDER_MODE 0700
 #define FILE_MODE 0600
-#define HEADER_SIZE 16 /* "rpjournl", format, zeros */
-#define RECORD_HEADER 32
+#define HEADER_SIZE 16        /* bytes: "rpjournl", format, zeros */
+#define RECORD_HEADER_SIZE 32 /* bytes */
 #define RECORD_MAGIC 0x72706a31u
-#define POSITION_MAX 0xffffffu
+#define BATCH_POSITION_MAX 0xffffffu /* 3 bytes of the record header */
 
 /* Layout of a record header, big-endian:
  *   0  magic     4
  *   4  length    4  of the payload
- *   8  number    8  counts records within the file
+ *   8  number    8  of the record within the file, from 0
  *  16  kind      1
- *  17  position  3  within its batch, which is what one sync made durable
+ *  17  position  3  within its batch: the records written by one sync
  *  20  checksum  4  over bytes 0 to 19
  *  24  checksum  8  over the payload
  *
- * The header has a checksum of its own so that a damaged length is not
- * taken for a record that a crash cut off.
+ * The header has a checksum of its own: without it, a damaged length would
+ * look like a record that a crash cut off.
  */
 
 static const uint8_t file_magic[8] = "rpjournl";
@@ -42,13 +44,13 @@
     int fd;
     uint64_t size;
     uint64_t next_number;
-    GByteArray *pending;
-    uint32_t pending_records; /* the batch that the next sync writes */
-    bool failed;
+    GByteArray *pending;      /* encoded records that no sync has written */
+    uint32_t pending_records; /* in `pending`, the batch of the next sync */
+    bool failed;              /* a write or sync failed; refuse all others */
 };
 
 static uint64_t
-checksum_of(const uint8_t *data, size_t len)
+compute_checksum(const uint8_t *data, size_t len)
 {
     static const uint8_t key[crypto_shorthash_KEYBYTES] = "rp-journal-check";
     uint8_t digest[crypto_shorthash_BYTES];
@@ -57,58 +59,61 @@
     return RpBytes_Get64(digest);
 }
 
+/* Appends the encoded record to `out`. */
 static void
 write_record(GByteArray *out, const struct rp_record *record, uint64_t number,
              uint32_t position)
 {
-    uint8_t header[RECORD_HEADER] = {0};
+    uint8_t header[RECORD_HEADER_SIZE] = {0};
     const uint8_t *payload = (const uint8_t *)record->payload.data;
 
     assert(record->payload.len <= RP_RECORD_MAX);
     RpBytes_Put32(header, RECORD_MAGIC);
     RpBytes_Put32(header + 4, (uint32_t)record->payload.len);
     RpBytes_Put64(header + 8, number);
-    RpBytes_Put32(header + 16, MIN(position, POSITION_MAX));
+    RpBytes_Put32(header + 16, MIN(position, BATCH_POSITION_MAX));
     header[16] = record->kind;
-    RpBytes_Put32(header + 20, (uint32_t)checksum_of(header, 20));
-    RpBytes_Put64(header + 24, checksum_of(payload, record->payload.len));
+    RpBytes_Put32(header + 20, (uint32_t)compute_checksum(header, 20));
+    RpBytes_Put64(header + 24, compute_checksum(payload, record->payload.len));
     g_byte_array_append(out, header, sizeof header);
     if (record->payload.len) {
         g_byte_array_append(out, payload, (guint)record->payload.len);
     }
 }
 
-enum record_check { RECORD_GOOD, RECORD_SHORT, RECORD_BAD };
+/* RECORD_TRUNCATED: the data ends before the record does. */
+enum record_check { RECORD_GOOD, RECORD_TRUNCATED, RECORD_DAMAGED };
 
-/* Checks the record at `data`; `*size` gets its whole size if it is good. */
+/* Checks the record at `data`. If it is good, sets `*size` to its size in
+ * bytes, header included. */
 static enum record_check
 check_record(const uint8_t *data, size_t len, size_t *size)
 {
-    if (len < RECORD_HEADER) {
-        return RECORD_SHORT;
+    if (len < RECORD_HEADER_SIZE) {
+        return RECORD_TRUNCATED;
     }
-    uint32_t payload = RpBytes_Get32(data + 4);
-    if (RpBytes_Get32(data) != RECORD_MAGIC || payload > RP_RECORD_MAX ||
-        RpBytes_Get32(data + 20) != (uint32_t)checksum_of(data, 20)) {
-        return RECORD_BAD;
+    uint32_t payload_len = RpBytes_Get32(data + 4);
+    if (RpBytes_Get32(data) != RECORD_MAGIC || payload_len > RP_RECORD_MAX ||
+        RpBytes_Get32(data + 20) != (uint32_t)compute_checksum(data, 20)) {
+        return RECORD_DAMAGED;
     }
-    if (len - RECORD_HEADER < payload) {
-        return RECORD_SHORT;
+    if (len - RECORD_HEADER_SIZE < payload_len) {
+        return RECORD_TRUNCATED;
     }
     if (RpBytes_Get64(data + 24) !=
-        checksum_of(data + RECORD_HEADER, payload)) {
-        return RECORD_BAD;
+        compute_checksum(data + RECORD_HEADER_SIZE, payload_len)) {
+        return RECORD_DAMAGED;
     }
-    *size = RECORD_HEADER + payload;
+    *size = RECORD_HEADER_SIZE + payload_len;
     return RECORD_GOOD;
 }
 
-/* The first good record in `data` at `from` or later; `len` if there is
- * none. */
+/* Returns the offset of the first good record in `data` at `from` or later;
+ * `len` if there is none. */
 static size_t
 find_good_record(const uint8_t *data, size_t len, size_t from)
 {
-    for (size_t i = from; i + RECORD_HEADER <= len; i++) {
+    for (size_t i = from; i + RECORD_HEADER_SIZE <= len; i++) {
         size_t size;
         if (RpBytes_Get32(data + i) == RECORD_MAGIC &&
             check_record(data + i, len - i, &size) == RECORD_GOOD) {
@@ -118,32 +123,35 @@
     return len;
 }
 
-/* Whether `data` holds what the file system had not filled yet. */
+/* Whether `data` holds a run of zeros as long as a record header: blocks that
+ * the file system had allocated but not written. */
 static bool
-has_hole(const uint8_t *data, size_t len)
+has_zero_run(const uint8_t *data, size_t len)
 {
     size_t zeros = 0;
 
-    for (size_t i = 0; i < len && zeros < RECORD_HEADER; i++) {
+    for (size_t i = 0; i < len && zeros < RECORD_HEADER_SIZE; i++) {
         zeros = data[i] == 0 ? zeros + 1 : 0;
     }
-    return zeros == RECORD_HEADER;
+    return zeros == RECORD_HEADER_SIZE;
 }
 
-/* Whether the record at `data` with this number is missing from a batch that
- * was being written when the power was lost: blocks reach the disk in any
- * order, so others of the batch may be there. A batch is written only once
- * the one before it is durable, so no good record may be of a later one. */
+/* Whether the record with this number, expected at `data`, is missing from a
+ * batch that was being written when power was lost. Blocks reach the disk in
+ * any order, so later records of that batch may be there. A batch is written
+ * only once the one before it is durable, so a good record of a later batch
+ * means that this one is damaged instead. */
 static bool
 is_torn_batch(const uint8_t *data, size_t len, uint64_t number)
 {
     size_t next = find_good_record(data, len, 1);
 
-    if (next == len || !has_hole(data, next)) {
+    if (next == len || !has_zero_run(data, next)) {
         return false;
     }
     while (next < len) {
-        uint32_t position = RpBytes_Get32(data + next + 16) & POSITION_MAX;
+        uint32_t position = RpBytes_Get32(data + next + 16) &
+                            BATCH_POSITION_MAX;
         if (RpBytes_Get64(data + next + 8) - position > number) {
             return false;
         }
@@ -152,22 +160,23 @@
     return true;
 }
 
-/* A crash leaves a tail that is short, or that the file system had not yet
- * filled and reads as zeros; other bytes that do not check are damage. */
+/* Whether the bad record at `data` is a write that a crash cut off: no good
+ * record follows it, and the data ends too early or in zeros, which are blocks
+ * that the file system had not written. Any other bad record is damage. */
 static bool
 is_torn_tail(const uint8_t *data, size_t len, enum record_check check)
 {
     if (find_good_record(data, len, 1) < len) {
         return false;
     }
-    if (check == RECORD_SHORT) {
+    if (check == RECORD_TRUNCATED) {
         return true;
     }
     size_t zeros = 0;
     while (zeros < len && data[len - 1 - zeros] == 0) {
         zeros++;
     }
-    return zeros == len || zeros >= RECORD_HEADER;
+    return zeros == len || zeros >= RECORD_HEADER_SIZE;
 }
 
 static enum rp_code
@@ -177,21 +186,23 @@
     if (len < HEADER_SIZE || memcmp(data, file_magic, sizeof file_magic) ||
         RpBytes_Get32(data + 12) != 0) {
         return RpError_Add(error, RP_ERR_CORRUPT, path,
-                           "not a journal: its header is damaged");
+                           "not a journal file, or its header is damaged");
     }
     if (RpBytes_Get32(data + 8) != RP_JOURNAL_FORMAT) {
         return RpError_Add(error, RP_ERR_FORMAT, path,
-                           "journal format %u, this program reads %u",
+                           "unsupported journal format %u: this program "
+                           "reads format %u",
                            RpBytes_Get32(data + 8), RP_JOURNAL_FORMAT);
     }
     return RP_OK;
 }
 
-/* Walks all records of a file's content. */
+/* Checks the content of a file and passes each record to `reader`, up to its
+ * end or a torn tail. Fills in `report`, which is zero before. */
 static enum rp_code
-replay(const char *path, const uint8_t *data, size_t len,
-       const struct rp_journal_reader *reader,
-       struct rp_journal_report *report, struct rp_error *error)
+replay_records(const char *path, const uint8_t *data, size_t len,
+               const struct rp_journal_reader *reader,
+               struct rp_journal_report *report, struct rp_error *error)
 {
     size_t offset = HEADER_SIZE;
 
@@ -216,8 +227,8 @@
         }
         struct rp_record record = {
             .kind = at[16],
-            .payload = {.data = (const char *)at + RECORD_HEADER,
-                        .len = size - RECORD_HEADER}};
+            .payload = {.data = (const char *)at + RECORD_HEADER_SIZE,
+                        .len = size - RECORD_HEADER_SIZE}};
         if (reader) {
             RP_FORWARD_IF_ERROR(reader->visit(reader->user, &record, error));
         }
@@ -228,10 +239,11 @@
     return RP_OK;
 }
 
+/* Adds the failed action with the text of errno to `error`. */
 static enum rp_code
-io_error(struct rp_error *error, const char *path, const char *what)
+add_io_error(struct rp_error *error, const char *path, const char *action)
 {
-    return RpError_Add(error, RP_ERR_IO, path, "%s: %s", what,
+    return RpError_Add(error, RP_ERR_IO, path, "%s: %s", action,
                        g_strerror(errno));
 }
 
@@ -241,11 +253,11 @@
     int fd = open(folder, O_RDONLY | O_DIRECTORY | O_CLOEXEC);
 
     if (fd < 0) {
-        return io_error(error, folder, "cannot open folder");
+        return add_io_error(error, folder, "cannot open folder");
     }
     int result = fsync(fd);
     close(fd);
-    return result ? io_error(error, folder, "cannot sync folder") : RP_OK;
+    return result ? add_io_error(error, folder, "cannot sync folder") : RP_OK;
 }
 
 static enum rp_code
@@ -258,7 +270,7 @@
             continue;
         }
         if (written < 0) {
-            return io_error(error, path, "cannot write");
+            return add_io_error(error, path, "cannot write");
         }
         data += written;
         len -= (size_t)written;
@@ -276,27 +288,28 @@
     g_byte_array_append(out, header, sizeof header);
 }
 
-/* Writes a whole new file beside the journal, synced, and gives it the
- * journal's name. Returns its descriptor, or -1. */
+/* Writes a new file beside the journal, syncs and locks it, and renames it to
+ * the journal's name, so that a crash leaves either the old file or the new
+ * one. Returns its descriptor, or -1. */
 static int
 replace_file(const char *folder, const char *path, const GByteArray *content,
              struct rp_error *error)
 {
-    gchar *new_path = g_build_filename(folder, NEW_FILE_NAME, NULL);
+    gchar *new_path = g_build_filename(folder, TEMP_FILE_NAME, NULL);
     int fd = open(new_path, O_RDWR | O_CREAT | O_TRUNC | O_CLOEXEC, FILE_MODE);
     enum rp_code code = RP_OK;
 
     if (fd < 0) {
-        code = io_error(error, new_path, "cannot create");
+        code = add_io_error(error, new_path, "cannot create");
     }
     if (code == RP_OK) {
         code = write_all(fd, content->data, content->len, new_path, error);
     }
     if (code == RP_OK && (fsync(fd) || flock(fd, LOCK_EX | LOCK_NB))) {
-        code = io_error(error, new_path, "cannot sync and lock");
+        code = add_io_error(error, new_path, "cannot sync and lock");
     }
     if (code == RP_OK && rename(new_path, path)) {
-        code = io_error(error, path, "cannot replace");
+        code = add_io_error(error, path, "cannot replace");
     }
     if (code == RP_OK) {
         code = sync_folder(folder, error);
@@ -308,11 +321,13 @@
     return code == RP_OK ? fd : -1;
 }
 
+/* Opens and locks the journal's file; creates it if it is missing. Returns its
+ * descriptor, or -1. */
 static int
 open_or_create(const char *folder, const char *path, struct rp_error *error)
 {
     if (g_mkdir_with_parents(folder, FOLDER_MODE)) {
-        io_error(error, folder, "cannot create folder");
+        add_io_error(error, folder, "cannot create folder");
         return -1;
     }
     int fd = open(path, O_RDWR | O_CLOEXEC);
@@ -324,7 +339,7 @@
         return fd;
     }
     if (fd < 0) {
-        io_error(error, path, "cannot open");
+        add_io_error(error, path, "cannot open");
         return -1;
     }
     if (flock(fd, LOCK_EX | LOCK_NB)) {
@@ -335,7 +350,8 @@
     return fd;
 }
 
-/* Reads a file that is already open; free the result with g_free. */
+/* Reads a whole open file and sets `*len` to its size. Returns NULL on
+ * failure; free the result with g_free. */
 static uint8_t *
 read_all(int fd, const char *path, size_t *len, struct rp_error *error)
 {
@@ -346,7 +362,7 @@
     while (size > 0 && done < (size_t)size) {
         ssize_t got = pread(fd, data + done, (size_t)size - done, (off_t)done);
         if (got <= 0) {
-            io_error(error, path, "cannot read");
+            add_io_error(error, path, "cannot read");
             g_free(data);
             return NULL;
         }
@@ -356,7 +372,8 @@
     return data;
 }
 
-/* Replays the open file and cuts off a torn tail. */
+/* Replays the open file and truncates a torn tail, so that new records follow
+ * the last good one. */
 static enum rp_code
 recover(struct rp_journal *journal, const struct rp_journal_reader *reader,
         struct rp_error *error)
@@ -369,12 +386,13 @@
     if (!data) {
         return RP_ERR_IO;
     }
-    enum rp_code code = replay(path, data, len, reader, &report, error);
+    enum rp_code code = replay_records(path, data, len, reader, &report,
+                                       error);
     g_free(data);
     RP_FORWARD_IF_ERROR(code);
     if (report.torn_bytes &&
         (ftruncate(journal->fd, (off_t)report.bytes) || fsync(journal->fd))) {
-        return io_error(error, path, "cannot cut off the torn tail");
+        return add_io_error(error, path, "cannot truncate the torn tail");
     }
     journal->size = report.bytes;
     journal->next_number = report.records;
@@ -430,7 +448,8 @@
 
     if (journal->failed) {
         return RpError_Add(error, RP_ERR_IO, path,
-                           "closed by an earlier failure");
+                           "journal refuses writes after an earlier "
+                           "write or sync failure");
     }
     if (journal->pending->len == 0) {
         return RP_OK;
@@ -438,7 +457,7 @@
     enum rp_code code = write_all(journal->fd, journal->pending->data,
                                   journal->pending->len, path, error);
     if (code == RP_OK && fdatasync(journal->fd)) {
-        code = io_error(error, path, "cannot sync");
+        code = add_io_error(error, path, "cannot sync");
     }
     if (code != RP_OK) {
         journal->failed = true;
@@ -459,7 +478,8 @@
     if (journal->failed) {
         g_byte_array_free(content, TRUE);
         return RpError_Add(error, RP_ERR_IO, journal->path->str,
-                           "closed by an earlier failure");
+                           "journal refuses writes after an earlier "
+                           "write or sync failure");
     }
     append_header(content);
     for (size_t i = 0; i < count; i++) {
@@ -499,13 +519,13 @@
 
     memset(report, 0, sizeof *report);
     if (fd < 0) {
-        io_error(error, path, "cannot open");
+        add_io_error(error, path, "cannot open");
         g_free(path);
         return code;
     }
     uint8_t *data = read_all(fd, path, &len, error);
     if (data) {
-        code = replay(path, data, len, NULL, report, error);
+        code = replay_records(path, data, len, NULL, report, error);
     }
     g_free(data);
     close(fd);
