--- a/tests/unit/check.c
+++ b/tests/unit/check.c
@@ -1,3 +1,4 @@
+/* Test packets. */
 #include "check.h"
 
 #include <string.h>
--- a/tests/unit/replica_world.c
+++ b/tests/unit/replica_world.c
@@ -1,31 +1,33 @@
+/* The network, disks, clocks and checks of the simulation. */
 #include "replica_world.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-#define MAX_DELAY 8 /* steps that a message may take */
-#define MAX_DELAY_US ((MAX_DELAY + 1) * STEP_US)
-#define MAX_FLIGHTS 2000
-#define COMPACT_EVERY 40 /* applied entries */
+#define MAX_DELAY_STEPS 8 /* steps that a message may be delayed */
+#define MAX_DELAY_US ((MAX_DELAY_STEPS + 1) * STEP_US)
+#define MAX_MESSAGES_IN_FLIGHT 2000
+#define COMPACTION_INTERVAL 40 /* applied entries */
 
 int
-world_roll(struct world *world, int sides)
+sim_random_below(struct sim *sim, int limit)
 {
-    return g_rand_int_range(world->dice, 0, sides);
+    return g_rand_int_range(sim->rng, 0, limit);
 }
 
 int64_t
-world_clock(const struct world *world, const struct instance *instance)
+sim_instance_clock(const struct sim *sim, const struct instance *instance)
 {
-    return world->now + instance->skew;
+    return sim->now + instance->clock_offset;
 }
 
 static struct rp_replica_member
-member_of(const struct world *world, unsigned slot)
+make_member(const struct sim *sim, unsigned instance_index)
 {
-    struct rp_replica_member member = {
-        .id = world->instances[slot].id, .ip = slot + 1, .port = 1};
-    gchar *name = g_strdup_printf("control-%u", slot);
+    struct rp_replica_member member = {.id = sim->instances[instance_index].id,
+                                       .ip = instance_index + 1,
+                                       .port = 1};
+    gchar *name = g_strdup_printf("control-%u", instance_index);
 
     RpName_Set(&member.name, RpStr_FromC(name));
     g_free(name);
@@ -33,10 +35,10 @@
 }
 
 static int
-slot_of(const struct world *world, uint64_t id)
+find_instance(const struct sim *sim, uint64_t id)
 {
-    for (unsigned i = 0; i < world->slots; i++) {
-        if (world->instances[i].id == id) {
+    for (unsigned i = 0; i < sim->instance_count; i++) {
+        if (sim->instances[i].id == id) {
             return (int)i;
         }
     }
@@ -50,7 +52,7 @@
 }
 
 static void
-wipe_disk(struct disk *disk)
+clear_disk(struct disk *disk)
 {
     if (disk->snapshot) {
         RpSchema_Clear(&rp_snapshot_schema, disk->snapshot);
@@ -83,7 +85,7 @@
     g_string_free(bytes, TRUE);
     uint64_t term = disk->term;
     uint64_t voted_for = disk->voted_for;
-    wipe_disk(disk);
+    clear_disk(disk);
     disk->term = term;
     disk->voted_for = voted_for;
     disk->snapshot = copy;
@@ -93,7 +95,7 @@
 }
 
 static void
-truncate_disk(struct disk *disk, uint64_t index)
+truncate_stored_entries(struct disk *disk, uint64_t index)
 {
     uint64_t first = disk->snapshot ? disk->snapshot->index + 1 : 1;
 
@@ -101,12 +103,13 @@
 }
 
 static void
-start_instance(struct world *world, unsigned slot)
+start_instance(struct sim *sim, unsigned instance_index)
 {
-    struct instance *instance = &world->instances[slot];
+    struct instance *instance = &sim->instances[instance_index];
     struct disk *disk = &instance->disk;
     struct rp_replica *replica = RpReplica_Create(
-        instance->id, world->seed * 100 + slot, world_clock(world, instance));
+        instance->id, sim->seed * 100 + instance_index,
+        sim_instance_clock(sim, instance));
 
     RpReplica_LoadVote(replica, disk->term, disk->voted_for);
     g_string_truncate(instance->state, 0);
@@ -123,108 +126,114 @@
         assert_true(RpSchema_Decode(
             &rp_log_entry_schema,
             (struct rp_str){.data = bytes->str, .len = bytes->len}, &entry));
-        CHECK(world, RpReplica_LoadEntry(replica, &entry) == RP_OK,
-              "a stored entry is missing");
+        CHECK(sim, RpReplica_LoadEntry(replica, &entry) == RP_OK,
+              "the stored log has a gap");
         RpSchema_Clear(&rp_log_entry_schema, &entry);
     }
     instance->replica = replica;
 }
 
 void
-world_stop_instance(struct world *world, unsigned slot)
+sim_stop_instance(struct sim *sim, unsigned instance_index)
 {
-    RpReplica_Free(world->instances[slot].replica);
-    world->instances[slot].replica = NULL;
+    RpReplica_Free(sim->instances[instance_index].replica);
+    sim->instances[instance_index].replica = NULL;
 }
 
 void
-world_lose_disk(struct world *world, unsigned slot)
+sim_lose_disk(struct sim *sim, unsigned instance_index)
 {
-    struct instance *instance = &world->instances[slot];
+    struct instance *instance = &sim->instances[instance_index];
 
-    world_stop_instance(world, slot);
-    wipe_disk(&instance->disk);
-    instance->id = ++world->next_id;
+    sim_stop_instance(sim, instance_index);
+    clear_disk(&instance->disk);
+    instance->id = ++sim->next_id;
 }
 
 static void
-put_on_wire(struct world *world, unsigned from,
-            const struct rp_replica_action *act)
+queue_message(struct sim *sim, unsigned from,
+              const struct rp_replica_action *act)
 {
-    int to = slot_of(world, act->to);
+    int to = find_instance(sim, act->to);
     int copies = 1;
 
-    if (to < 0 || world->cut[from][to]) {
+    if (to < 0 || sim->link_is_cut[from][to]) {
         return;
     }
-    if (world->faulty) {
-        int luck = world_roll(world, 20);
-        copies = luck == 0 ? 0 : luck == 1 ? 2 : 1;
+    if (sim->inject_faults) {
+        int fate = sim_random_below(sim, 20);
+        copies = fate == 0 ? 0 : fate == 1 ? 2 : 1;
     }
-    while (copies-- > 0 && world->flights->len < MAX_FLIGHTS) {
+    while (copies-- > 0 &&
+           sim->messages_in_flight->len < MAX_MESSAGES_IN_FLIGHT) {
         GString *bytes = g_string_new(NULL);
-        struct flight *flight = g_new0(struct flight, 1);
+        struct sim_message *message = g_new0(struct sim_message, 1);
         RpMsg_Encode(&act->msg, bytes);
         RpMsg_Decode((struct rp_str){.data = bytes->str, .len = bytes->len},
-                     &flight->msg);
-        flight->to = (unsigned)to;
-        flight->delay = world->faulty ? world_roll(world, MAX_DELAY) : 0;
-        g_ptr_array_add(world->flights, flight);
+                     &message->msg);
+        message->to = (unsigned)to;
+        message->delay_steps = sim->inject_faults
+                                   ? sim_random_below(sim, MAX_DELAY_STEPS)
+                                   : 0;
+        g_ptr_array_add(sim->messages_in_flight, message);
         g_string_free(bytes, TRUE);
     }
 }
 
-/* A committed entry is applied: the same one everywhere, once. */
+/* Applies a committed entry to the state and checks that the entries arrive in
+ * order and are the same on every instance. */
 static void
-apply(struct world *world, struct instance *instance,
-      const struct rp_log_entry *entry)
+check_and_apply_entry(struct sim *sim, struct instance *instance,
+                      const struct rp_log_entry *entry)
 {
-    CHECK(world, entry->index == instance->applied + 1,
+    CHECK(sim, entry->index == instance->applied + 1,
           "an entry was applied out of order");
     instance->applied = entry->index;
-    instance->since_compact++;
-    if (world->history->len <= entry->index) {
-        g_ptr_array_set_size(world->history, (gint)entry->index + 1);
-    }
-    gpointer *seen = &g_ptr_array_index(world->history, entry->index);
-    GString *what = g_string_new(NULL);
-    g_string_printf(what, "%" G_GUINT64_FORMAT "/%u/", entry->term,
+    instance->applied_since_compaction++;
+    if (sim->applied_entries->len <= entry->index) {
+        g_ptr_array_set_size(sim->applied_entries, (gint)entry->index + 1);
+    }
+    gpointer *first_applied = &g_ptr_array_index(sim->applied_entries,
+                                                 entry->index);
+    GString *applied = g_string_new(NULL);
+    g_string_printf(applied, "%" G_GUINT64_FORMAT "/%u/", entry->term,
                     entry->kind);
-    g_string_append_len(what, entry->data->str, (gssize)entry->data->len);
-    if (!*seen) {
-        *seen = g_string_new_len(what->str, (gssize)what->len);
+    g_string_append_len(applied, entry->data->str, (gssize)entry->data->len);
+    if (!*first_applied) {
+        *first_applied = g_string_new_len(applied->str, (gssize)applied->len);
     }
-    CHECK(world, g_string_equal(*seen, what),
+    CHECK(sim, g_string_equal(*first_applied, applied),
           "two replicas applied different entries");
-    g_string_free(what, TRUE);
+    g_string_free(applied, TRUE);
     if (entry->kind != RP_ENTRY_COMMAND) {
         return;
     }
     g_string_append_printf(instance->state, "%s,", entry->data->str);
-    /* The leader that proposed it acknowledges it now. */
-    gpointer number = g_hash_table_lookup(world->proposed,
+    /* The leader that proposed the command acknowledges it now. */
+    gpointer number = g_hash_table_lookup(sim->proposed,
                                           GSIZE_TO_POINTER(entry->index));
     if (RpReplica_Role(instance->replica) == RP_REPLICA_LEADER && number &&
         GPOINTER_TO_UINT(number) ==
             (guint)strtoul(entry->data->str, NULL, 10)) {
         guint acknowledged = GPOINTER_TO_UINT(number);
-        g_hash_table_add(world->acknowledged, number);
-        g_array_append_val(world->in_order, acknowledged);
-        g_array_append_val(world->times, world->now);
+        g_hash_table_add(sim->acknowledged, number);
+        g_array_append_val(sim->acknowledged_in_order, acknowledged);
+        g_array_append_val(sim->acknowledged_times, sim->now);
     }
 }
 
 void
-world_carry_out(struct world *world, unsigned slot)
+sim_carry_out_actions(struct sim *sim, unsigned instance_index)
 {
-    struct instance *instance = &world->instances[slot];
+    struct instance *instance = &sim->instances[instance_index];
     GArray *actions = RpReplica_TakeActions(instance->replica);
     guint limit = actions->len;
 
-    /* A kill in the middle: what comes later was never done. */
-    bool killed = world->faulty && limit > 0 && world_roll(world, 3000) == 0;
-    if (killed) {
-        limit = (guint)world_roll(world, (int)limit);
+    /* A crash between two actions: the later ones are not carried out. */
+    bool crashed = sim->inject_faults && limit > 0 &&
+                   sim_random_below(sim, 3000) == 0;
+    if (crashed) {
+        limit = (guint)sim_random_below(sim, (int)limit);
     }
     for (guint i = 0; i < limit; i++) {
         const struct rp_replica_action *act = &g_array_index(
@@ -238,7 +247,7 @@
             store_entry(&instance->disk, act->entry);
             break;
         case RP_REPLICA_STORE_TRUNCATE:
-            truncate_disk(&instance->disk, act->index);
+            truncate_stored_entries(&instance->disk, act->index);
             break;
         case RP_REPLICA_STORE_SNAPSHOT:
             store_snapshot(instance, act->snapshot);
@@ -248,82 +257,84 @@
             instance->applied = act->snapshot->index;
             break;
         case RP_REPLICA_SEND:
-            put_on_wire(world, slot, act);
+            queue_message(sim, instance_index, act);
             break;
         case RP_REPLICA_APPLY:
-            apply(world, instance, act->entry);
+            check_and_apply_entry(sim, instance, act->entry);
             break;
         }
     }
     RpReplica_FreeActions(actions);
-    if (killed) {
-        world_stop_instance(world, slot);
-        instance->down = 1 + world_roll(world, 100);
+    if (crashed) {
+        sim_stop_instance(sim, instance_index);
+        instance->down_steps = 1 + sim_random_below(sim, 100);
         return;
     }
     if (RpReplica_Role(instance->replica) == RP_REPLICA_LEADER) {
         gpointer term = GSIZE_TO_POINTER(RpReplica_Term(instance->replica));
-        gpointer other = g_hash_table_lookup(world->leaders, term);
-        CHECK(world, !other || GPOINTER_TO_SIZE(other) == instance->id,
+        gpointer other = g_hash_table_lookup(sim->leader_by_term, term);
+        CHECK(sim, !other || GPOINTER_TO_SIZE(other) == instance->id,
               "two leaders in one term");
-        g_hash_table_insert(world->leaders, term,
+        g_hash_table_insert(sim->leader_by_term, term,
                             GSIZE_TO_POINTER(instance->id));
     }
-    if (instance->since_compact >= COMPACT_EVERY) {
-        instance->since_compact = 0;
+    if (instance->applied_since_compaction >= COMPACTION_INTERVAL) {
+        instance->applied_since_compaction = 0;
         RpReplica_Compact(instance->replica, instance->state);
         store_snapshot(instance, RpReplica_Snapshot(instance->replica));
     }
 }
 
 static bool
-is_running(const struct world *world, unsigned slot)
+is_running(const struct sim *sim, unsigned instance_index)
 {
-    const struct instance *instance = &world->instances[slot];
+    const struct instance *instance = &sim->instances[instance_index];
 
-    return instance->replica && instance->frozen == 0;
+    return instance->replica && instance->frozen_steps == 0;
 }
 
 void
-world_deliver(struct world *world)
+sim_deliver_messages(struct sim *sim)
 {
-    for (guint i = 0; i < world->flights->len;) {
-        struct flight *flight = g_ptr_array_index(world->flights, i);
-        if (flight->delay-- > 0) {
+    for (guint i = 0; i < sim->messages_in_flight->len;) {
+        struct sim_message *message = g_ptr_array_index(
+            sim->messages_in_flight, i);
+        if (message->delay_steps-- > 0) {
             i++;
             continue;
         }
-        g_ptr_array_steal_index(world->flights, i);
-        struct instance *instance = &world->instances[flight->to];
-        if (is_running(world, flight->to)) {
-            RpReplica_Receive(instance->replica, world_clock(world, instance),
-                              &flight->msg);
-            world_carry_out(world, flight->to);
+        g_ptr_array_steal_index(sim->messages_in_flight, i);
+        struct instance *instance = &sim->instances[message->to];
+        if (is_running(sim, message->to)) {
+            RpReplica_Receive(instance->replica,
+                              sim_instance_clock(sim, instance),
+                              &message->msg);
+            sim_carry_out_actions(sim, message->to);
         }
-        RpMsg_Clear(&flight->msg);
-        g_free(flight);
+        RpMsg_Clear(&message->msg);
+        g_free(message);
     }
 }
 
 static void
-propose(struct world *world, unsigned slot)
+propose(struct sim *sim, unsigned instance_index)
 {
-    struct instance *instance = &world->instances[slot];
+    struct instance *instance = &sim->instances[instance_index];
     GString *command = g_string_new(NULL);
     uint64_t index;
 
-    g_string_printf(command, "%u", ++world->next_command);
-    if (RpReplica_Propose(instance->replica, world_clock(world, instance),
+    g_string_printf(command, "%u", ++sim->next_command);
+    if (RpReplica_Propose(instance->replica, sim_instance_clock(sim, instance),
                           command, &index) == RP_OK) {
-        g_hash_table_insert(world->proposed, GSIZE_TO_POINTER(index),
-                            GUINT_TO_POINTER(world->next_command));
-        world_carry_out(world, slot);
+        g_hash_table_insert(sim->proposed, GSIZE_TO_POINTER(index),
+                            GUINT_TO_POINTER(sim->next_command));
+        sim_carry_out_actions(sim, instance_index);
     }
     g_string_free(command, TRUE);
 }
 
 unsigned
-world_count_command(const GString *state, guint number)
+sim_count_command(const GString *state, guint number)
 {
     gchar *wanted = g_strdup_printf("%u", number);
     gchar **commands = g_strsplit(state->str, ",", -1);
@@ -337,214 +348,222 @@
     return count;
 }
 
-/* Begins a read, or checks the one that is under way. */
+/* Starts a read, or checks the pending one if it is confirmed. */
 static void
-read_state(struct world *world, unsigned slot)
+start_or_check_read(struct sim *sim, unsigned instance_index)
 {
-    struct instance *instance = &world->instances[slot];
+    struct instance *instance = &sim->instances[instance_index];
 
-    if (instance->read_from == 0) {
+    if (instance->acknowledged_before_read == 0) {
         instance->read_term = RpReplica_Term(instance->replica);
         instance->read_round = RpReplica_StartRead(
-            instance->replica, world_clock(world, instance));
-        instance->read_from = instance->read_round ? world->in_order->len : 0;
-        world_carry_out(world, slot);
+            instance->replica, sim_instance_clock(sim, instance));
+        instance->acknowledged_before_read =
+            instance->read_round ? sim->acknowledged_in_order->len : 0;
+        sim_carry_out_actions(sim, instance_index);
         return;
     }
     if (RpReplica_ReadIsSafe(instance->replica, instance->read_term,
                              instance->read_round)) {
-        guint newest = g_array_index(world->in_order, guint,
-                                     instance->read_from - 1);
-        CHECK(world, world_count_command(instance->state, newest) == 1,
-              "a confirmed read misses what was acknowledged before it");
-        instance->read_from = 0;
+        guint newest = g_array_index(sim->acknowledged_in_order, guint,
+                                     instance->acknowledged_before_read - 1);
+        CHECK(sim, sim_count_command(instance->state, newest) == 1,
+              "a confirmed read misses a command that was "
+              "acknowledged before it");
+        instance->acknowledged_before_read = 0;
     }
     else if (RpReplica_Term(instance->replica) != instance->read_term) {
-        instance->read_from = 0;
+        instance->acknowledged_before_read = 0;
     }
 }
 
-/* A replica that says that it is fresh has all that was acknowledged before
- * the leader sent the contact by which its lease began. */
+/* Checks that a replica that reports itself fresh has applied every command
+ * that was acknowledged before the leader sent the round that its lease counts
+ * from. */
 static void
-check_fresh(struct world *world, unsigned slot)
+check_fresh(struct sim *sim, unsigned instance_index)
 {
-    const struct instance *instance = &world->instances[slot];
-    guint count = world->in_order->len;
+    const struct instance *instance = &sim->instances[instance_index];
+    guint count = sim->acknowledged_in_order->len;
 
-    if (!RpReplica_IsFresh(instance->replica, world_clock(world, instance))) {
+    if (!RpReplica_IsFresh(instance->replica,
+                           sim_instance_clock(sim, instance))) {
         return;
     }
-    while (count > 0 && g_array_index(world->times, int64_t, count - 1) >
-                            world->now - RP_LEASE_US - MAX_DELAY_US) {
+    while (count > 0 &&
+           g_array_index(sim->acknowledged_times, int64_t, count - 1) >
+               sim->now - RP_LEASE_US - MAX_DELAY_US) {
         count--;
     }
-    CHECK(
-        world,
-        count == 0 || world_count_command(instance->state,
-                                          g_array_index(world->in_order, guint,
-                                                        count - 1)) == 1,
-        "a replica says that it is fresh and misses an acknowledged command");
+    CHECK(sim,
+          count == 0 ||
+              sim_count_command(instance->state,
+                                g_array_index(sim->acknowledged_in_order,
+                                              guint, count - 1)) == 1,
+          "a fresh replica misses an acknowledged command");
 }
 
-/* A leader whose lease holds may answer by itself: no other may then. */
+/* Checks that at most one leader holds a lease: such a leader answers reads
+ * without asking the others. */
 static void
-check_leases(struct world *world)
+check_leases(struct sim *sim)
 {
     unsigned holders = 0;
 
-    for (unsigned i = 0; i < world->slots; i++) {
-        const struct instance *instance = &world->instances[i];
-        holders += is_running(world, i) &&
+    for (unsigned i = 0; i < sim->instance_count; i++) {
+        const struct instance *instance = &sim->instances[i];
+        holders += is_running(sim, i) &&
                    RpReplica_Role(instance->replica) == RP_REPLICA_LEADER &&
                    RpReplica_IsFresh(instance->replica,
-                                     world_clock(world, instance));
+                                     sim_instance_clock(sim, instance));
     }
-    CHECK(world, holders <= 1, "two leaders hold a lease");
+    CHECK(sim, holders <= 1, "two leaders hold a lease");
 }
 
-/* Replicas that are not members ask the others to let them in. */
 void
-world_ask_to_join(struct world *world, unsigned slot)
+sim_send_join_requests(struct sim *sim, unsigned instance_index)
 {
-    struct instance *instance = &world->instances[slot];
-    struct rp_replica_member self = member_of(world, slot);
+    struct instance *instance = &sim->instances[instance_index];
+    struct rp_replica_member self = make_member(sim, instance_index);
 
     if (!RpReplica_WantsToJoin(instance->replica,
-                               world_clock(world, instance))) {
+                               sim_instance_clock(sim, instance))) {
         return;
     }
-    for (unsigned i = 0; i < world->slots; i++) {
-        /* Of a group each knows two others from its settings, and the leader
-         * may be none of them. */
-        bool is_known = !world->group || i == (slot + 1) % world->slots ||
-                        i == (slot + 2) % world->slots;
-        if (i != slot && is_known && is_running(world, i) &&
-            !world->cut[slot][i]) {
-            RpReplica_Join(world->instances[i].replica,
-                           world_clock(world, &world->instances[i]), &self,
+    for (unsigned i = 0; i < sim->instance_count; i++) {
+        /* In a group, each instance knows two others from its settings, and
+         * the leader may be neither of them. */
+        bool is_known = !sim->is_group ||
+                        i == (instance_index + 1) % sim->instance_count ||
+                        i == (instance_index + 2) % sim->instance_count;
+        if (i != instance_index && is_known && is_running(sim, i) &&
+            !sim->link_is_cut[instance_index][i]) {
+            RpReplica_Join(sim->instances[i].replica,
+                           sim_instance_clock(sim, &sim->instances[i]), &self,
                            false);
-            world_carry_out(world, i);
+            sim_carry_out_actions(sim, i);
         }
     }
 }
 
 void
-world_step(struct world *world)
+sim_step(struct sim *sim)
 {
-    world->now += STEP_US;
-    for (unsigned i = 0; i < world->slots; i++) {
-        struct instance *instance = &world->instances[i];
-        if (!instance->replica && --instance->down <= 0) {
-            start_instance(world, i);
+    sim->now += STEP_US;
+    for (unsigned i = 0; i < sim->instance_count; i++) {
+        struct instance *instance = &sim->instances[i];
+        if (!instance->replica && --instance->down_steps <= 0) {
+            start_instance(sim, i);
         }
-        if (instance->frozen > 0) {
-            instance->frozen--;
+        if (instance->frozen_steps > 0) {
+            instance->frozen_steps--;
             continue;
         }
         if (!instance->replica) {
             continue;
         }
-        RpReplica_Tick(instance->replica, world_clock(world, instance));
-        world_carry_out(world, i);
-        if (is_running(world, i) && world_roll(world, 10) == 0) {
-            world_ask_to_join(world, i);
+        RpReplica_Tick(instance->replica, sim_instance_clock(sim, instance));
+        sim_carry_out_actions(sim, i);
+        if (is_running(sim, i) && sim_random_below(sim, 10) == 0) {
+            sim_send_join_requests(sim, i);
         }
-        if (!world->quiet && is_running(world, i) &&
-            world_roll(world, 5) == 0) {
-            propose(world, i);
+        if (!sim->idle && is_running(sim, i) &&
+            sim_random_below(sim, 5) == 0) {
+            propose(sim, i);
         }
-        if (world->group && !world->quiet && is_running(world, i)) {
-            read_state(world, i);
+        if (sim->is_group && !sim->idle && is_running(sim, i)) {
+            start_or_check_read(sim, i);
         }
-        if (world->group && is_running(world, i)) {
-            check_fresh(world, i);
+        if (sim->is_group && is_running(sim, i)) {
+            check_fresh(sim, i);
         }
     }
-    world_deliver(world);
-    if (world->group) {
-        check_leases(world);
+    sim_deliver_messages(sim);
+    if (sim->is_group) {
+        check_leases(sim);
     }
 }
 
-/* All make the same first entry. */
+/* Bootstraps all instances with the same list of members. */
 static void
-start_group(struct world *world)
+bootstrap_group(struct sim *sim)
 {
     GArray *members = RpSchema_NewList(&rp_replica_member_schema);
 
-    for (unsigned i = 0; i < world->slots; i++) {
-        struct rp_replica_member member = member_of(world, i);
+    for (unsigned i = 0; i < sim->instance_count; i++) {
+        struct rp_replica_member member = make_member(sim, i);
         member.voter = 1;
         g_array_append_val(members, member);
     }
-    for (unsigned i = 0; i < world->slots; i++) {
-        RpReplica_BootstrapGroup(world->instances[i].replica, members);
-        world_carry_out(world, i);
+    for (unsigned i = 0; i < sim->instance_count; i++) {
+        RpReplica_BootstrapGroup(sim->instances[i].replica, members);
+        sim_carry_out_actions(sim, i);
     }
     g_array_free(members, TRUE);
 }
 
 void
-world_start(struct world *world, uint32_t seed)
+sim_start(struct sim *sim, uint32_t seed)
 {
-    world->seed = seed;
-    world->dice = g_rand_new_with_seed(seed);
-    if (world->slots == 0) {
-        world->slots = world->group ? (seed % 2 ? 4 : 6) : (seed % 2 ? 3 : 5);
-    }
-    world->in_order = g_array_new(FALSE, FALSE, sizeof(guint));
-    world->times = g_array_new(FALSE, FALSE, sizeof(int64_t));
-    world->now = 1000 * RP_US_PER_SECOND;
-    world->flights = g_ptr_array_new();
-    world->leaders = g_hash_table_new(NULL, NULL);
-    world->history = g_ptr_array_new();
-    world->proposed = g_hash_table_new(NULL, NULL);
-    world->acknowledged = g_hash_table_new(NULL, NULL);
-    for (unsigned i = 0; i < world->slots; i++) {
-        struct instance *instance = &world->instances[i];
-        instance->id = ++world->next_id;
-        instance->skew = world_roll(world, 100) * RP_US_PER_SECOND;
+    sim->seed = seed;
+    sim->rng = g_rand_new_with_seed(seed);
+    if (sim->instance_count == 0) {
+        sim->instance_count = sim->is_group ? (seed % 2 ? 4 : 6)
+                                            : (seed % 2 ? 3 : 5);
+    }
+    sim->acknowledged_in_order = g_array_new(FALSE, FALSE, sizeof(guint));
+    sim->acknowledged_times = g_array_new(FALSE, FALSE, sizeof(int64_t));
+    sim->now = 1000 * RP_US_PER_SECOND;
+    sim->messages_in_flight = g_ptr_array_new();
+    sim->leader_by_term = g_hash_table_new(NULL, NULL);
+    sim->applied_entries = g_ptr_array_new();
+    sim->proposed = g_hash_table_new(NULL, NULL);
+    sim->acknowledged = g_hash_table_new(NULL, NULL);
+    for (unsigned i = 0; i < sim->instance_count; i++) {
+        struct instance *instance = &sim->instances[i];
+        instance->id = ++sim->next_id;
+        instance->clock_offset = sim_random_below(sim, 100) * RP_US_PER_SECOND;
         instance->state = g_string_new(NULL);
-        wipe_disk(&instance->disk);
-        start_instance(world, i);
+        clear_disk(&instance->disk);
+        start_instance(sim, i);
     }
-    if (world->group) {
-        start_group(world);
+    if (sim->is_group) {
+        bootstrap_group(sim);
         return;
     }
-    struct rp_replica_member first = member_of(world, 0);
-    RpReplica_Bootstrap(world->instances[0].replica, &first);
-    world_carry_out(world, 0);
+    struct rp_replica_member first = make_member(sim, 0);
+    RpReplica_Bootstrap(sim->instances[0].replica, &first);
+    sim_carry_out_actions(sim, 0);
 }
 
 void
-world_end(struct world *world)
+sim_end(struct sim *sim)
 {
-    for (unsigned i = 0; i < world->slots; i++) {
-        struct instance *instance = &world->instances[i];
+    for (unsigned i = 0; i < sim->instance_count; i++) {
+        struct instance *instance = &sim->instances[i];
         RpReplica_Free(instance->replica);
-        wipe_disk(&instance->disk);
+        clear_disk(&instance->disk);
         g_ptr_array_unref(instance->disk.entries);
         g_string_free(instance->state, TRUE);
     }
-    for (guint i = 0; i < world->flights->len; i++) {
-        struct flight *flight = g_ptr_array_index(world->flights, i);
-        RpMsg_Clear(&flight->msg);
-        g_free(flight);
+    for (guint i = 0; i < sim->messages_in_flight->len; i++) {
+        struct sim_message *message = g_ptr_array_index(
+            sim->messages_in_flight, i);
+        RpMsg_Clear(&message->msg);
+        g_free(message);
     }
-    g_ptr_array_unref(world->flights);
-    for (guint i = 0; i < world->history->len; i++) {
-        GString *seen = g_ptr_array_index(world->history, i);
+    g_ptr_array_unref(sim->messages_in_flight);
+    for (guint i = 0; i < sim->applied_entries->len; i++) {
+        GString *seen = g_ptr_array_index(sim->applied_entries, i);
         if (seen) {
             g_string_free(seen, TRUE);
         }
     }
-    g_ptr_array_unref(world->history);
-    g_hash_table_destroy(world->leaders);
-    g_hash_table_destroy(world->proposed);
-    g_hash_table_destroy(world->acknowledged);
-    g_array_free(world->in_order, TRUE);
-    g_array_free(world->times, TRUE);
-    g_rand_free(world->dice);
+    g_ptr_array_unref(sim->applied_entries);
+    g_hash_table_destroy(sim->leader_by_term);
+    g_hash_table_destroy(sim->proposed);
+    g_hash_table_destroy(sim->acknowledged);
+    g_array_free(sim->acknowledged_in_order, TRUE);
+    g_array_free(sim->acknowledged_times, TRUE);
+    g_rand_free(sim->rng);
 }
--- a/tests/unit/replica_world.h
+++ b/tests/unit/replica_world.h
@@ -1,14 +1,17 @@
-/* Replicas under a network that drops, delays, repeats and cuts one way, with
- * freezes, kills in the middle of storing, lost disks and clocks that differ,
- * all by one seed. Checked all along:
+/* Simulation of a group of replicas, driven by one seed. The network drops,
+ * delays and duplicates messages and cuts links in one direction. Instances
+ * freeze, crash between two store actions, lose their disks, and have clocks
+ * that differ. Every step checks that
  *
- * - one leader a term, one order everywhere;
- * - nothing acknowledged is changed or applied twice;
- * - a replica that says it is fresh has applied all that was acknowledged
- *   before the lease began;
- * - of a group, whose clocks run alike, one leader at most holds a lease;
- * - a read that a majority has confirmed shows all that was acknowledged
- *   before it began. */
+ * - a term has at most one leader, and all replicas apply the same entries in
+ *   the same order;
+ * - no acknowledged command is changed or applied twice;
+ * - a replica that reports itself fresh has applied every command that was
+ *   acknowledged before the leader's lease began;
+ * - at most one leader holds a lease (only in a group whose clocks run at the
+ *   same speed);
+ * - a read that a majority has confirmed sees every command that was
+ *   acknowledged before the read began. */
 #ifndef REPLICA_WORLD_H
 #define REPLICA_WORLD_H
 
@@ -17,10 +20,11 @@
 #include "check.h"
 #include "rp_replica.h"
 
-#define MAX_SLOTS 6 /* instances */
+#define MAX_INSTANCES 6
+
 #define STEP_US (20 * RP_US_PER_MS)
 
-/* What one instance has on its disk. */
+/* The durable state of one instance. */
 struct disk {
     uint64_t term;
     uint64_t voted_for;
@@ -32,85 +36,91 @@
     struct rp_replica *replica; /* NULL while it is down */
     uint64_t id;
     struct disk disk;
-    int64_t skew;   /* its clock against the world's */
-    int frozen;     /* steps left */
-    int down;       /* steps left */
-    GString *state; /* applied commands, "1,2,3," */
+    int64_t clock_offset; /* its clock minus the simulation's, in us */
+    int frozen_steps;     /* left until it runs again */
+    int down_steps;       /* left until it restarts */
+    GString *state;       /* applied commands, "1,2,3," */
     uint64_t applied;
-    uint64_t since_compact;
-    uint64_t read_term; /* of a read under way */
+    uint64_t applied_since_compaction;
+    uint64_t read_term; /* of the pending read */
     uint64_t read_round;
-    guint read_from; /* commands acknowledged before it; 0: no read */
+    /* Commands acknowledged before the pending read began; 0: no read. */
+    guint acknowledged_before_read;
 };
 
-struct flight {
-    unsigned to;
-    int delay; /* steps left */
+/* A message in flight. */
+struct sim_message {
+    unsigned to;     /* index of the receiving instance */
+    int delay_steps; /* left until it arrives */
     struct rp_msg msg;
 };
 
-struct world {
-    const char *test; /* the program, for what to repeat */
+struct sim {
+    const char *program; /* test program, for the command to reproduce */
     uint32_t seed;
-    GRand *dice;
+    GRand *rng;
     int64_t now;
-    unsigned slots;
+    unsigned instance_count;
     uint64_t next_id;
-    struct instance instances[MAX_SLOTS];
-    bool cut[MAX_SLOTS][MAX_SLOTS]; /* one way */
-    GPtrArray *flights;
-    GHashTable *leaders;      /* term -> id */
-    GPtrArray *history;       /* command by index, as GString; NULL: none */
-    GHashTable *proposed;     /* index -> command number, by the last leader */
-    GHashTable *acknowledged; /* command number -> 1 */
-    GArray *in_order;         /* the same, as guint */
-    GArray *times;            /* when each was, as int64_t */
+    struct instance instances[MAX_INSTANCES];
+    bool link_is_cut[MAX_INSTANCES][MAX_INSTANCES]; /* [from][to] */
+    GPtrArray *messages_in_flight;
+    GHashTable *leader_by_term; /* term -> id of its leader */
+    GPtrArray *applied_entries; /* GString by log index; NULL: not applied */
+    GHashTable *proposed;       /* index -> number of the command there */
+    GHashTable *acknowledged;   /* set of command numbers */
+    GArray *acknowledged_in_order; /* command numbers, as guint */
+    GArray *acknowledged_times;    /* of the same, as int64_t */
     unsigned next_command;
-    bool faulty;
-    bool group; /* all were started together */
-    bool quiet; /* nothing is proposed or read */
+    bool inject_faults;
+    bool is_group; /* all are bootstrapped together as members */
+    bool idle;     /* no proposals and reads */
 };
 
-#define CHECK(world, condition, text)                                         \
+#define CHECK(sim, condition, text)                                           \
     do {                                                                      \
         if (!(condition)) {                                                   \
             print_error("%s\nrepeat with: RP_SEED=%u "                        \
                         "build/tests/%s\n",                                   \
-                        text, (world)->seed, (world)->test);                  \
+                        text, (sim)->seed, (sim)->program);                   \
             fail();                                                           \
         }                                                                     \
     } while (0)
 
-/* A world of `seed`; `test`, `group` and, if it is to be set, `slots` are set
- * before: a group has 4 or 6 instances, else one starts and 2 or 4 others
- * join. */
-void world_start(struct world *world, uint32_t seed);
-void world_end(struct world *world);
+/* Starts a simulation with this seed. The caller zeroes `sim` and sets
+ * `program`, `is_group` and optionally `instance_count` before. By default a
+ * group has 4 or 6 instances; otherwise one instance bootstraps and 2 or 4
+ * others join it. */
+void sim_start(struct sim *sim, uint32_t seed);
+
+/* Frees what the simulation holds. */
+void sim_end(struct sim *sim);
 
-/* One step of STEP_US: instances run, proposals and reads are made, messages
- * arrive. */
-void world_step(struct world *world);
+/* Simulates STEP_US: instances run, propose and read, and messages arrive. */
+void sim_step(struct sim *sim);
 
-/* The parts of a step, for runs without proposals. */
-void world_carry_out(struct world *world, unsigned slot);
-void world_deliver(struct world *world);
+/* Parts of a step, for runs without proposals: carries out the actions of one
+ * instance; delivers the messages whose delay has passed. */
+void sim_carry_out_actions(struct sim *sim, unsigned instance_index);
+void sim_deliver_messages(struct sim *sim);
 
-/* An instance that is no member asks those that it knows to let it in. */
-void world_ask_to_join(struct world *world, unsigned slot);
+/* If the instance wants to join, sends a join request to those that it
+ * knows. */
+void sim_send_join_requests(struct sim *sim, unsigned instance_index);
 
-/* An instance loses its power; `down` says how many steps until it is back.
- * The other loses its disk as well. */
-void world_stop_instance(struct world *world, unsigned slot);
-void world_lose_disk(struct world *world, unsigned slot);
+/* Stops an instance; it restarts when its `down_steps` have passed.
+ * sim_lose_disk also clears its disk and gives it a new id. */
+void sim_stop_instance(struct sim *sim, unsigned instance_index);
+void sim_lose_disk(struct sim *sim, unsigned instance_index);
 
-/* A number from 0 to sides - 1. */
-int world_roll(struct world *world, int sides);
+/* Returns a random number from 0 to limit - 1. */
+int sim_random_below(struct sim *sim, int limit);
 
-/* What an instance's own clock says. */
-int64_t world_clock(const struct world *world,
-                    const struct instance *instance);
+/* Returns the time of an instance's own clock, in microseconds. */
+int64_t sim_instance_clock(const struct sim *sim,
+                           const struct instance *instance);
 
-/* How often a command stands in a state. */
-unsigned world_count_command(const GString *state, guint number);
+/* Counts how often a state contains a command. */
+unsigned sim_count_command(const GString *state, guint number);
 
 #endif
--- a/tests/unit/test_journal.c
+++ b/tests/unit/test_journal.c
@@ -1,5 +1,5 @@
-/* The journal: what survives a crash at any byte, what counts as damage,
- * and that a failed sync is final. */
+/* Tests of the journal: which records survive a crash at any byte, what is
+ * reported as damage, and that a failed sync is final. */
 #include <fcntl.h>
 #include <glib.h>
 #include <glib/gstdio.h>
@@ -11,9 +11,10 @@
 #include "check.h"
 #include "rp_journal.h"
 
-/* What a replay saw, as text: "1:alpha 2:beta". */
+/* Appends a replayed record to a text such as "1:alpha 2:beta". */
 static enum rp_code
-note_record(void *user, const struct rp_record *record, struct rp_error *error)
+append_to_text(void *user, const struct rp_record *record,
+               struct rp_error *error)
 {
     GString *seen = user;
 
@@ -24,7 +25,7 @@
     return RP_OK;
 }
 
-/* A folder for one test. */
+/* The data folder of one test, and the records that the last replay read. */
 struct fixture {
     gchar *folder;
     gchar *file;
@@ -32,7 +33,7 @@
 };
 
 static int
-set_up(void **state)
+setup(void **state)
 {
     struct fixture *fixture = g_new0(struct fixture, 1);
 
@@ -44,7 +45,7 @@
 }
 
 static int
-tear_down(void **state)
+teardown(void **state)
 {
     struct fixture *fixture = *state;
 
@@ -61,7 +62,7 @@
 open_journal(struct fixture *fixture, struct rp_error *error)
 {
     g_string_truncate(fixture->seen, 0);
-    const struct rp_journal_reader reader = {.visit = note_record,
+    const struct rp_journal_reader reader = {.visit = append_to_text,
                                              .user = fixture->seen};
     return RpJournal_Open(fixture->folder, &reader, error);
 }
@@ -75,7 +76,7 @@
     RpJournal_Append(journal, &record);
 }
 
-/* Writes alpha, beta, gamma, each synced by itself. */
+/* Writes alpha, beta and gamma, each with its own sync. */
 static void
 write_three(struct fixture *fixture)
 {
@@ -106,8 +107,8 @@
     assert_string_equal(fixture->seen->str, "1:alpha 2:beta 3:gamma 4:delta");
 }
 
-/* Cut at every byte of the last record: the ones before it survive, and
- * the journal goes on from there. */
+/* A file cut at any byte of its last record keeps the records before it and
+ * accepts new ones. */
 static void
 test_cut_at_every_byte(void **state)
 {
@@ -133,7 +134,8 @@
     g_free(content);
 }
 
-/* A tail that the file system left as zeros is torn, too. */
+/* A last record that reads as zeros, because the file system never wrote its
+ * blocks, counts as torn. */
 static void
 test_zero_tail(void **state)
 {
@@ -153,7 +155,8 @@
     g_free(content);
 }
 
-/* Writes one to three after alpha, beta, gamma, all three with one sync. */
+/* Writes three more records after alpha, beta and gamma with one sync. Returns
+ * the content of the file; free it with g_free. */
 static gchar *
 write_batch(struct fixture *fixture, gsize *len)
 {
@@ -170,13 +173,14 @@
     return content;
 }
 
-/* Sizes of the records that write_batch writes, headers included. */
+/* Sizes in bytes of the records of write_batch, headers included. */
 #define BATCH_FIRST (32 + 16)
 #define BATCH_SECOND (32 + 17)
 #define BATCH_THIRD (32 + 16)
 
-/* Power was lost during the write of a batch: blocks of it are on the disk in
- * any order. What comes before the hole is kept, and the journal goes on. */
+/* A power loss during the write of a batch leaves any of its blocks unwritten,
+ * in any order. The records before the gap are kept, and the journal accepts
+ * new ones. */
 static void
 test_hole_in_last_batch(void **state)
 {
@@ -215,8 +219,8 @@
     g_free(content);
 }
 
-/* A hole in what was synced before the last batch, or a flipped bit in that
- * batch, is damage. */
+/* A gap before the last batch is damage, because that data was synced; so is a
+ * flipped bit in the last batch. */
 static void
 test_hole_before_last_batch(void **state)
 {
@@ -242,7 +246,8 @@
     g_free(content);
 }
 
-/* One flipped bit anywhere is damage, never a shorter journal. */
+/* One flipped bit anywhere is reported as damage; no record is dropped
+ * silently. */
 static void
 test_every_flipped_bit_is_damage(void **state)
 {
@@ -288,7 +293,7 @@
     assert_string_equal(fixture->seen->str, "7:snapshot 8:next");
 }
 
-/* A second process must not write the same folder. */
+/* A second process cannot open the same folder. */
 static void
 test_folder_is_locked(void **state)
 {
@@ -304,24 +309,24 @@
     RpJournal_Close(journal);
 }
 
-/* A full disk (here: a file size limit) fails the sync, and the journal
- * refuses everything after it. */
+/* On a full disk, simulated by a file size limit, the sync fails and the
+ * journal refuses every later sync. */
 static void
 test_failed_write_is_final(void **state)
 {
     struct fixture *fixture = *state;
-    struct rlimit old;
-    struct rlimit tight;
+    struct rlimit old_limit;
+    struct rlimit small_limit;
     struct rp_journal *journal = open_journal(fixture, NULL);
 
     signal(SIGXFSZ, SIG_IGN);
-    getrlimit(RLIMIT_FSIZE, &old);
-    tight = old;
-    tight.rlim_cur = 64;
+    getrlimit(RLIMIT_FSIZE, &old_limit);
+    small_limit = old_limit;
+    small_limit.rlim_cur = 64;
     append(journal, 1, "this record does not fit into the limit any more");
-    setrlimit(RLIMIT_FSIZE, &tight);
+    setrlimit(RLIMIT_FSIZE, &small_limit);
     enum rp_code code = RpJournal_Sync(journal, NULL);
-    setrlimit(RLIMIT_FSIZE, &old);
+    setrlimit(RLIMIT_FSIZE, &old_limit);
     assert_int_equal(code, RP_ERR_IO);
     append(journal, 2, "late");
     assert_int_equal(RpJournal_Sync(journal, NULL), RP_ERR_IO);
@@ -335,7 +340,7 @@
 main(void)
 {
 #define TEST(function)                                                        \
-    cmocka_unit_test_setup_teardown(function, set_up, tear_down)
+    cmocka_unit_test_setup_teardown(function, setup, teardown)
     const struct CMUnitTest tests[] = {
         TEST(test_reopen),
         TEST(test_cut_at_every_byte),
--- a/tests/unit/test_replica.c
+++ b/tests/unit/test_replica.c
@@ -1,9 +1,10 @@
-/* Property runs of agreement in the worlds of replica_world.h. Besides what
- * is checked there, on every seed nothing acknowledged is lost, and once the
- * faults end, the system takes changes again.
+/* Property tests of the replicated log in the simulation of replica_world.h.
+ * Besides the checks of each step, every seed checks that no acknowledged
+ * command is lost, and that the group commits commands again after the faults
+ * end.
  *
- * A second property starts 4 or 6 replicas together as a first group; 6 of
- * them lose two disks at once.
+ * The second test bootstraps 4 or 6 replicas together as one group; a group
+ * of 6 can lose two disks at once.
  *
  * RP_SEED=N runs that seed alone; RP_SEEDS=N runs 1 to N. */
 #include <string.h>
@@ -12,28 +13,28 @@
 #include "seeds.h"
 
 #define FAULT_STEPS 1500
-#define CALM_STEPS 1500
+#define RECOVERY_STEPS 1500
 #define DEFAULT_SEEDS 250
 #define GROUP_SEEDS 100
 
-/* Seeds beyond those that found a fault once. */
+/* Further seeds that each found a fault once. */
 static const uint32_t extra_seeds[] = {852,  1318, 1572, 2418, 5066, 5446,
                                        6424, 7566, 7622, 8090, 9716};
 
-/* How many instances may lose their disk without losing the data: one at a
- * time, and only when all others are up and hold the log's end. */
+/* Whether the instance can lose its disk without a loss of committed data: all
+ * instances run and know the full group, in which every member is a voter. */
 static bool
-may_lose_disk(const struct world *world, unsigned slot)
+can_lose_disk(const struct sim *sim, unsigned instance_index)
 {
-    unsigned full = 0;
+    unsigned others_with_data = 0;
 
-    for (unsigned i = 0; i < world->slots; i++) {
-        const struct instance *instance = &world->instances[i];
+    for (unsigned i = 0; i < sim->instance_count; i++) {
+        const struct instance *instance = &sim->instances[i];
         if (!instance->replica || !RpReplica_IsMember(instance->replica)) {
             return false;
         }
         const GArray *members = RpReplica_Members(instance->replica);
-        if (members->len != world->slots) {
+        if (members->len != sim->instance_count) {
             return false;
         }
         for (guint j = 0; j < members->len; j++) {
@@ -41,153 +42,159 @@
                 return false;
             }
         }
-        full += i != slot;
+        others_with_data += i != instance_index;
     }
-    return full + 1 == world->slots;
+    return others_with_data + 1 == sim->instance_count;
 }
 
 static void
-break_something(struct world *world)
+inject_fault(struct sim *sim)
 {
-    unsigned slot = (unsigned)world_roll(world, (int)world->slots);
-    unsigned other = (unsigned)world_roll(world, (int)world->slots);
-    struct instance *instance = &world->instances[slot];
-
-    if (world->group && world_roll(world, 10) == 0) {
-        /* All lose power at the same moment; their disks are whole. */
-        for (unsigned i = 0; i < world->slots; i++) {
-            world_stop_instance(world, i);
-            world->instances[i].down = 1 + world_roll(world, 20);
+    unsigned instance_index = (unsigned)sim_random_below(
+        sim, (int)sim->instance_count);
+    unsigned other = (unsigned)sim_random_below(sim, (int)sim->instance_count);
+    struct instance *instance = &sim->instances[instance_index];
+
+    if (sim->is_group && sim_random_below(sim, 10) == 0) {
+        /* All lose power at the same moment and keep their disks. */
+        for (unsigned i = 0; i < sim->instance_count; i++) {
+            sim_stop_instance(sim, i);
+            sim->instances[i].down_steps = 1 + sim_random_below(sim, 20);
         }
         return;
     }
 
-    switch (world_roll(world, 8)) {
+    switch (sim_random_below(sim, 8)) {
     case 0:
         if (instance->replica) {
-            world_stop_instance(world, slot);
-            instance->down = 1 + world_roll(world, 200);
+            sim_stop_instance(sim, instance_index);
+            instance->down_steps = 1 + sim_random_below(sim, 200);
         }
         break;
     case 1:
-        instance->frozen = 1 + world_roll(world, 200);
+        instance->frozen_steps = 1 + sim_random_below(sim, 200);
         break;
     case 2:
-        world->cut[slot][other] = true; /* one way */
+        sim->link_is_cut[instance_index][other] = true; /* one direction */
         break;
     case 3:
-        for (unsigned i = 0; i < world->slots; i++) {
-            world->cut[slot][i] = true;
-            world->cut[i][slot] = true;
+        for (unsigned i = 0; i < sim->instance_count; i++) {
+            sim->link_is_cut[instance_index][i] = true;
+            sim->link_is_cut[i][instance_index] = true;
         }
         break;
     case 4:
     case 5:
-        memset(world->cut, 0, sizeof world->cut);
+        memset(sim->link_is_cut, 0, sizeof sim->link_is_cut);
         break;
     case 6:
-        /* The clock jumps forward; it never runs backwards. A lease holds
-         * only while clocks run alike. */
-        if (!world->group) {
-            instance->skew += world_roll(world, 3) * RP_US_PER_SECOND;
+        /* The clock jumps forward; it never runs backwards. Leases are safe
+         * only while clocks run at the same speed, so a group is exempt. */
+        if (!sim->is_group) {
+            instance->clock_offset += sim_random_below(sim, 3) *
+                                      RP_US_PER_SECOND;
         }
         break;
     default:
-        if (may_lose_disk(world, slot) && world_roll(world, 3) == 0) {
-            world_lose_disk(world, slot);
-            instance->down = 1 + world_roll(world, 50);
-            if (world->slots == MAX_SLOTS && other != slot) {
+        if (can_lose_disk(sim, instance_index) &&
+            sim_random_below(sim, 3) == 0) {
+            sim_lose_disk(sim, instance_index);
+            instance->down_steps = 1 + sim_random_below(sim, 50);
+            if (sim->instance_count == MAX_INSTANCES &&
+                other != instance_index) {
                 /* A second disk is lost at the same moment. */
-                world_lose_disk(world, other);
-                world->instances[other].down = 1 + world_roll(world, 50);
+                sim_lose_disk(sim, other);
+                sim->instances[other].down_steps = 1 +
+                                                   sim_random_below(sim, 50);
             }
         }
     }
 }
 
 static void
-check_end(struct world *world)
+check_recovered(struct sim *sim)
 {
-    const GString *state = world->instances[0].state;
+    const GString *state = sim->instances[0].state;
     GHashTableIter iter;
     gpointer key;
 
-    for (unsigned i = 0; i < world->slots; i++) {
-        CHECK(world,
-              world->instances[i].replica &&
-                  RpReplica_IsMember(world->instances[i].replica),
-              "a replica did not come back");
-        CHECK(world, g_string_equal(world->instances[i].state, state),
-              "replicas differ after the faults");
-        CHECK(world,
-              RpReplica_IsFresh(world->instances[i].replica,
-                                world_clock(world, &world->instances[i])),
+    for (unsigned i = 0; i < sim->instance_count; i++) {
+        CHECK(sim,
+              sim->instances[i].replica &&
+                  RpReplica_IsMember(sim->instances[i].replica),
+              "a replica is not running or not a member after the faults");
+        CHECK(sim, g_string_equal(sim->instances[i].state, state),
+              "replicas have different states after the faults");
+        CHECK(sim,
+              RpReplica_IsFresh(sim->instances[i].replica,
+                                sim_instance_clock(sim, &sim->instances[i])),
               "a replica is not fresh after the faults");
     }
-    g_hash_table_iter_init(&iter, world->acknowledged);
+    g_hash_table_iter_init(&iter, sim->acknowledged);
     while (g_hash_table_iter_next(&iter, &key, NULL)) {
-        CHECK(world, world_count_command(state, GPOINTER_TO_UINT(key)) == 1,
-              "an acknowledged command is lost or there twice");
+        CHECK(sim, sim_count_command(state, GPOINTER_TO_UINT(key)) == 1,
+              "an acknowledged command is lost or applied twice");
     }
 }
 
 static unsigned
-run_world(uint32_t seed, bool group)
+run_simulation(uint32_t seed, bool group)
 {
-    static struct world world;
+    static struct sim sim;
 
-    memset(&world, 0, sizeof world);
-    world.test = "test_replica";
-    world.group = group;
-    world_start(&world, seed);
+    memset(&sim, 0, sizeof sim);
+    sim.program = "test_replica";
+    sim.is_group = group;
+    sim_start(&sim, seed);
     for (int i = 0; i < 300; i++) {
-        world_step(&world); /* the others join */
+        sim_step(&sim); /* the others join */
     }
-    world.faulty = true;
+    sim.inject_faults = true;
     for (int i = 0; i < FAULT_STEPS; i++) {
-        if (world_roll(&world, 25) == 0) {
-            break_something(&world);
+        if (sim_random_below(&sim, 25) == 0) {
+            inject_fault(&sim);
         }
-        world_step(&world);
+        sim_step(&sim);
     }
-    world.faulty = false;
-    memset(world.cut, 0, sizeof world.cut);
-    for (unsigned i = 0; i < world.slots; i++) {
-        world.instances[i].frozen = 0;
-        world.instances[i].down = 0;
+    sim.inject_faults = false;
+    memset(sim.link_is_cut, 0, sizeof sim.link_is_cut);
+    for (unsigned i = 0; i < sim.instance_count; i++) {
+        sim.instances[i].frozen_steps = 0;
+        sim.instances[i].down_steps = 0;
     }
-    unsigned before = g_hash_table_size(world.acknowledged);
-    for (int i = 0; i < CALM_STEPS; i++) {
-        world_step(&world);
+    unsigned acknowledged_before = g_hash_table_size(sim.acknowledged);
+    for (int i = 0; i < RECOVERY_STEPS; i++) {
+        sim_step(&sim);
     }
-    unsigned acknowledged = g_hash_table_size(world.acknowledged);
-    CHECK(&world, acknowledged > before, "no change is taken any more");
-    /* Let the last heartbeats tell everyone what is committed. */
-    world.next_command += 1000000;
+    unsigned acknowledged = g_hash_table_size(sim.acknowledged);
+    CHECK(&sim, acknowledged > acknowledged_before,
+          "no command is committed after the faults");
+    /* Let the next heartbeats carry the commit index to all followers. */
+    sim.next_command += 1000000;
     for (int i = 0; i < 100; i++) {
-        world.now += STEP_US;
-        for (unsigned j = 0; j < world.slots; j++) {
-            RpReplica_Tick(world.instances[j].replica,
-                           world_clock(&world, &world.instances[j]));
-            world_carry_out(&world, j);
+        sim.now += STEP_US;
+        for (unsigned j = 0; j < sim.instance_count; j++) {
+            RpReplica_Tick(sim.instances[j].replica,
+                           sim_instance_clock(&sim, &sim.instances[j]));
+            sim_carry_out_actions(&sim, j);
         }
-        world_deliver(&world);
+        sim_deliver_messages(&sim);
     }
-    check_end(&world);
-    world_end(&world);
+    check_recovered(&sim);
+    sim_end(&sim);
     return acknowledged;
 }
 
 static unsigned
 run_seed(uint32_t seed)
 {
-    return run_world(seed, false);
+    return run_simulation(seed, false);
 }
 
 static unsigned
 run_group_seed(uint32_t seed)
 {
-    return run_world(seed, true);
+    return run_simulation(seed, true);
 }
 
 static void
@@ -203,22 +210,22 @@
 }
 
 static void
-test_agreement_property(void **state)
+test_consensus_property(void **state)
 {
     uint32_t ran;
 
     (void)state;
     unsigned acknowledged = run_seeds(run_seed, DEFAULT_SEEDS, extra_seeds,
                                       G_N_ELEMENTS(extra_seeds), &ran);
-    print_message("%u seeds, %u commands acknowledged, all there once\n", ran,
-                  acknowledged);
+    print_message("%u seeds, %u commands acknowledged, each applied once\n",
+                  ran, acknowledged);
 }
 
 int
 main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_agreement_property),
+        cmocka_unit_test(test_consensus_property),
         cmocka_unit_test(test_group_property),
     };
 
--- a/tests/unit/test_replica_start.c
+++ b/tests/unit/test_replica_start.c
@@ -1,198 +1,208 @@
-/* How soon a group leads again after all of it lost its power: a table of
- * groups, each played with some seeds on a network that works. And that it
- * does not lead too soon, while a leader of before lives. */
+/* How long a group takes to elect a leader after all its instances lost power,
+ * for several kinds of group and a network without faults. Also that no second
+ * leader is elected too early while the old leader still runs. */
 #include <string.h>
 
 #include "replica_world.h"
 #include "seeds.h"
 
-#define SETTLE_STEPS 150 /* until all have joined and are fresh */
+#define SETTLE_STEPS 150 /* until all instances are fresh */
 #define DEFAULT_SEEDS 20
-/* A lease that no process can hold any more is not to be waited for. */
-#define BOUND_US RP_LEASE_US
+/* No process can still hold a lease, so the election must not wait for one. */
+#define MAX_TIME_TO_LEADER_US RP_LEASE_US
 
-/* What becomes of the group. */
+/* The groups and how they restart. */
 static const struct {
-    const char *what;
-    unsigned slots;
-    unsigned wiped;  /* of these, the first ones come back without disk */
-    unsigned spread; /* steps between the first and the last to start */
+    const char *name;
+    unsigned instance_count;
+    unsigned lost_disks; /* how many, from the first on, lose their disk */
+    unsigned start_spread_steps; /* between the first and the last start */
 } cases[] = {
-    {"three, all at once", 3, 0, 0},
-    {"three, one after the other", 3, 0, 3},
-    {"three, one without its disk", 3, 1, 0},
-    {"four, one without its disk", 4, 1, 2},
-    {"six, two without their disks", 6, 2, 3},
+    {"3 instances, started at once", 3, 0, 0},
+    {"3 instances, started one by one", 3, 0, 3},
+    {"3 instances, 1 lost its disk", 3, 1, 0},
+    {"4 instances, 1 lost its disk", 4, 1, 2},
+    {"6 instances, 2 lost their disks", 6, 2, 3},
 };
 
-/* How many instances are fresh, of those that have their disk and so their
- * vote. */
+/* Counts the fresh instances among those that kept their disk and so are still
+ * voters. */
 static unsigned
-count_fresh(const struct world *world, unsigned wiped)
+count_fresh(const struct sim *sim, unsigned lost_disks)
 {
     unsigned count = 0;
 
-    for (unsigned i = wiped; i < world->slots; i++) {
-        const struct instance *instance = &world->instances[i];
+    for (unsigned i = lost_disks; i < sim->instance_count; i++) {
+        const struct instance *instance = &sim->instances[i];
         count += instance->replica &&
                  RpReplica_IsFresh(instance->replica,
-                                   world_clock(world, instance));
+                                   sim_instance_clock(sim, instance));
     }
     return count;
 }
 
-/* One step of a system that does nothing but get up. */
+/* One step of a restarting group: instances without a disk try to join. */
 static void
-get_up(struct world *world, unsigned wiped)
+step_restarting_group(struct sim *sim, unsigned lost_disks)
 {
-    for (unsigned i = 0; i < wiped; i++) {
-        if (world->instances[i].replica) {
-            world_ask_to_join(world, i);
+    for (unsigned i = 0; i < lost_disks; i++) {
+        if (sim->instances[i].replica) {
+            sim_send_join_requests(sim, i);
         }
     }
-    world_step(world);
+    sim_step(sim);
 }
 
-/* How long the group takes from its last start until it is led. */
+/* Stops all instances and returns the time in microseconds from the last start
+ * until all that kept their disk are fresh. */
 static int64_t
-time_to_lead(struct world *world, unsigned wiped, unsigned spread)
+measure_time_to_leader(struct sim *sim, unsigned lost_disks,
+                       unsigned start_spread_steps)
 {
-    for (unsigned i = 0; i < world->slots; i++) {
-        if (i < wiped) {
-            world_lose_disk(world, i);
+    for (unsigned i = 0; i < sim->instance_count; i++) {
+        if (i < lost_disks) {
+            sim_lose_disk(sim, i);
         }
         else {
-            world_stop_instance(world, i);
+            sim_stop_instance(sim, i);
         }
-        world->instances[i].down = 50 + (int)(spread * i / world->slots);
+        sim->instances[i].down_steps = 50 + (int)(start_spread_steps * i /
+                                                  sim->instance_count);
     }
-    int64_t up = world->now + (50 + spread) * STEP_US;
-    world->quiet = true;
-    while (world->now < up) {
-        get_up(world, wiped);
+    int64_t last_start = sim->now + (50 + start_spread_steps) * STEP_US;
+    sim->idle = true;
+    while (sim->now < last_start) {
+        step_restarting_group(sim, lost_disks);
     }
-    int64_t led = 0;
-    while (count_fresh(world, wiped) < world->slots - wiped) {
-        get_up(world, wiped);
-        if (led == 0 && count_fresh(world, wiped) > 0) {
-            led = world->now;
+    int64_t first_fresh = 0;
+    while (count_fresh(sim, lost_disks) < sim->instance_count - lost_disks) {
+        step_restarting_group(sim, lost_disks);
+        if (first_fresh == 0 && count_fresh(sim, lost_disks) > 0) {
+            first_fresh = sim->now;
         }
-        CHECK(world, world->now < up + 10 * BOUND_US, "nobody leads");
+        CHECK(sim, sim->now < last_start + 10 * MAX_TIME_TO_LEADER_US,
+              "the group elects no leader");
     }
-    /* Nodes that chose another replica are not to wait for a heartbeat. */
-    CHECK(world, led == 0 || world->now - led < RP_HEARTBEAT_US / 2,
-          "the others hear too late that they are led");
-    return world->now - up;
+    /* Nodes that connect to a follower must not have to wait for the next
+     * heartbeat. */
+    CHECK(sim,
+          first_fresh == 0 || sim->now - first_fresh < RP_HEARTBEAT_US / 2,
+          "followers become fresh too long after the leader");
+    return sim->now - last_start;
 }
 
 static void
-settle(struct world *world, uint32_t seed, unsigned slots)
+start_and_settle(struct sim *sim, uint32_t seed, unsigned instance_count)
 {
-    memset(world, 0, sizeof *world);
-    world->test = "test_replica_start";
-    world->group = true;
-    world->slots = slots;
-    world_start(world, seed);
+    memset(sim, 0, sizeof *sim);
+    sim->program = "test_replica_start";
+    sim->is_group = true;
+    sim->instance_count = instance_count;
+    sim_start(sim, seed);
     for (int step = 0; step < SETTLE_STEPS; step++) {
-        world_step(world);
+        sim_step(sim);
     }
 }
 
-/* The longest that each group took, over all seeds. */
-static int64_t slowest[G_N_ELEMENTS(cases)];
+/* The longest time that each group took, over all seeds, in microseconds. */
+static int64_t longest_times[G_N_ELEMENTS(cases)];
 
 static unsigned
 run_seed(uint32_t seed)
 {
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
-        static struct world world;
-        settle(&world, seed, cases[i].slots);
-        int64_t took = time_to_lead(&world, cases[i].wiped, cases[i].spread);
-        if (took >= BOUND_US) {
-            print_error("%s: led after %" G_GINT64_FORMAT " ms\n",
-                        cases[i].what, took / RP_US_PER_MS);
+        static struct sim sim;
+        start_and_settle(&sim, seed, cases[i].instance_count);
+        int64_t took = measure_time_to_leader(&sim, cases[i].lost_disks,
+                                              cases[i].start_spread_steps);
+        if (took >= MAX_TIME_TO_LEADER_US) {
+            print_error("%s: fresh after %" G_GINT64_FORMAT " ms\n",
+                        cases[i].name, took / RP_US_PER_MS);
         }
-        CHECK(&world, took < BOUND_US, "a group takes too long to get up");
-        slowest[i] = MAX(slowest[i], took);
-        world_end(&world);
+        CHECK(&sim, took < MAX_TIME_TO_LEADER_US,
+              "a group takes too long to elect a leader");
+        longest_times[i] = MAX(longest_times[i], took);
+        sim_end(&sim);
     }
     return 1;
 }
 
 static void
-test_power_lost(void **state)
+test_power_loss(void **state)
 {
     uint32_t ran;
 
     (void)state;
     run_seeds(run_seed, DEFAULT_SEEDS, NULL, 0, &ran);
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
-        print_message("%s: led after %" G_GINT64_FORMAT
+        print_message("%s: fresh after %" G_GINT64_FORMAT
                       " ms at most, %u seeds\n",
-                      cases[i].what, slowest[i] / RP_US_PER_MS, ran);
+                      cases[i].name, longest_times[i] / RP_US_PER_MS, ran);
     }
 }
 
 static unsigned
-find_leader(const struct world *world)
+find_leader(const struct sim *sim)
 {
-    unsigned slot = 0;
+    unsigned instance_index = 0;
 
-    while (slot + 1 < world->slots &&
-           RpReplica_Role(world->instances[slot].replica) !=
+    while (instance_index + 1 < sim->instance_count &&
+           RpReplica_Role(sim->instances[instance_index].replica) !=
                RP_REPLICA_LEADER) {
-        slot++;
+        instance_index++;
     }
-    return slot;
+    return instance_index;
 }
 
-/* All but the leader start anew and cannot hear it: its lease is waited for,
- * which every step of the world checks. */
+/* All instances but the leader restart and are cut off from it. They must wait
+ * for its lease to expire, which the lease check of every step verifies, and
+ * then elect a leader. */
 static unsigned
-run_leader_lives(uint32_t seed)
+run_isolated_leader(uint32_t seed)
 {
-    static struct world world;
-
-    settle(&world, seed, seed % 2 ? 3 : 5);
-    unsigned old = find_leader(&world);
-    for (unsigned i = 0; i < world.slots; i++) {
-        world.cut[old][i] = true;
-        world.cut[i][old] = true;
-        if (i != old) {
-            world_stop_instance(&world, i);
-            world.instances[i].down = 1;
+    static struct sim sim;
+
+    start_and_settle(&sim, seed, seed % 2 ? 3 : 5);
+    unsigned old_leader = find_leader(&sim);
+    for (unsigned i = 0; i < sim.instance_count; i++) {
+        sim.link_is_cut[old_leader][i] = true;
+        sim.link_is_cut[i][old_leader] = true;
+        if (i != old_leader) {
+            sim_stop_instance(&sim, i);
+            sim.instances[i].down_steps = 1;
         }
     }
-    int64_t end = world.now + 10 * RP_ELECTION_US;
-    while (world.now < end) {
-        world_step(&world);
+    int64_t end = sim.now + 10 * RP_ELECTION_US;
+    while (sim.now < end) {
+        sim_step(&sim);
     }
     unsigned leaders = 0;
-    for (unsigned i = 0; i < world.slots; i++) {
-        leaders += i != old && RpReplica_Role(world.instances[i].replica) ==
-                                   RP_REPLICA_LEADER;
+    for (unsigned i = 0; i < sim.instance_count; i++) {
+        leaders += i != old_leader &&
+                   RpReplica_Role(sim.instances[i].replica) ==
+                       RP_REPLICA_LEADER;
     }
-    CHECK(&world, leaders == 1, "the others have no leader of their own");
-    world_end(&world);
+    CHECK(&sim, leaders == 1, "the other instances have no leader");
+    sim_end(&sim);
     return 1;
 }
 
 static void
-test_leader_lives(void **state)
+test_isolated_leader(void **state)
 {
     uint32_t ran;
 
     (void)state;
-    run_seeds(run_leader_lives, DEFAULT_SEEDS, NULL, 0, &ran);
-    print_message("%u seeds of a leader that lives\n", ran);
+    run_seeds(run_isolated_leader, DEFAULT_SEEDS, NULL, 0, &ran);
+    print_message("%u seeds of a leader that is cut off\n", ran);
 }
 
 int
 main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_power_lost),
-        cmocka_unit_test(test_leader_lives),
+        cmocka_unit_test(test_power_loss),
+        cmocka_unit_test(test_isolated_leader),
     };
 
     return cmocka_run_group_tests(tests, NULL, NULL);
