--- a/lib/flow/rp_agent.c
+++ b/lib/flow/rp_agent.c
@@ -1,3 +1,5 @@
+/* The agent's entry points: creation, state changes, packets from callers
+ * and packets from the host. See rp_agent.h. */
 #include "rp_agent.h"
 
 #include <assert.h>
@@ -95,7 +97,6 @@
     RpHealth_Answered(&agent->health, now);
 }
 
-/* Starts a call: what the last one's actions pointed to is let go. */
 void
 RpAgent_Begin(struct rp_agent *agent, struct rp_actions *actions)
 {
@@ -172,6 +173,8 @@
     RpAgent_ResetCaller(agent, actions, RP_COUNT_RESET_HOST_LOST, &last);
 }
 
+/* Enters the state `next` if it differs from the current one. A flow that
+ * leaves RP_FLOW_OPENING no longer needs the copy of its SYN. */
 static void
 change_state(struct rp_agent *agent, struct rp_flow *flow, uint8_t next,
              int64_t now)
@@ -185,10 +188,11 @@
     RpAgent_Enter(agent, flow, next, now);
 }
 
-/* Gives an owned flow's packet to the host. */
+/* Sends a caller's packet to the host, unless the gate queues it. A SYN is
+ * sent without its payload. */
 static void
-to_host(struct rp_agent *agent, int64_t now, struct rp_flow *flow,
-        const struct rp_packet *packet, struct rp_actions *actions)
+forward_to_host(struct rp_agent *agent, int64_t now, struct rp_flow *flow,
+                const struct rp_packet *packet, struct rp_actions *actions)
 {
     const uint8_t *data = packet->data;
     size_t len = packet->len;
@@ -208,10 +212,11 @@
                  len);
 }
 
+/* Looks up a caller's packet in the flow chart and performs the action. */
 static void
-apply_caller(struct rp_agent *agent, int64_t now, struct rp_flow *flow,
-             const struct rp_packet *packet, const struct rp_chain *chain,
-             struct rp_actions *actions)
+handle_caller_packet(struct rp_agent *agent, int64_t now, struct rp_flow *flow,
+                     const struct rp_packet *packet,
+                     const struct rp_chain *chain, struct rp_actions *actions)
 {
     enum rp_flow_event event = RpAgent_ClassifyCaller(flow, packet,
                                                       chain->forced);
@@ -220,13 +225,14 @@
     change_state(agent, flow, step.next, now);
     switch ((enum rp_flow_action)step.action) {
     case RP_FLOW_DO_TO_HOST:
-        to_host(agent, now, flow, packet, actions);
+        forward_to_host(agent, now, flow, packet, actions);
         break;
     case RP_FLOW_DO_TO_HOST_AND_PASS:
-        /* A host that gives back what it does not hold needs no look at a
-         * reset of a flow that is known to be elsewhere. */
+        /* In formats where the host returns packets of unknown flows, it
+         * does not need to see a reset of a flow that another agent is known
+         * to own. */
         if (RpAgent_CanForge(agent) || flow->state != RP_FLOW_REDIRECT) {
-            to_host(agent, now, flow, packet, actions);
+            forward_to_host(agent, now, flow, packet, actions);
         }
         RpAgent_Pass(agent, now, flow, packet, chain, actions);
         break;
@@ -250,27 +256,30 @@
     }
 }
 
-/* Whether the service may be reached there. Virtual addresses come and go
- * more often than tables reach agents: there the balancer's tag decides. */
+/* Whether `address` is an address of the service. A service without an
+ * address of its own (port 0) accepts any: its virtual addresses change more
+ * often than agents receive tables, so the balancer's tag decides. */
 static bool
-is_own_address(const struct rp_service *service, struct rp_endpoint address)
+is_service_address(const struct rp_service *service,
+                   struct rp_endpoint address)
 {
     return service->address.port == 0 ||
            RpEndpoint_Equal(service->address, address);
 }
 
-/* Whether the packet is meant for this agent's service, in its present
- * life, at its address. */
+/* Whether the packet's tag names this agent's service and its current
+ * incarnation, and its destination is an address of that service. */
 static bool
-is_ours(const struct rp_agent *agent, const struct rp_packet *packet,
-        const struct rp_geneve *geneve)
+is_for_own_service(const struct rp_agent *agent,
+                   const struct rp_packet *packet,
+                   const struct rp_geneve *geneve)
 {
     const struct rp_service *service = agent->service;
 
     return geneve->has_tag && geneve->has_chain &&
            geneve->tag.service_id == service->tag.service_id &&
            geneve->tag.incarnation == service->tag.incarnation &&
-           is_own_address(service, RpFlowKey_Target(packet->key));
+           is_service_address(service, RpFlowKey_Target(packet->key));
 }
 
 void
@@ -285,14 +294,15 @@
         RpAgent_Act(agent, actions, RP_ACTION_DROP, RP_COUNT_DROP_NO_TABLE);
         return;
     }
-    if (!is_ours(agent, packet, geneve)) {
+    if (!is_for_own_service(agent, packet, geneve)) {
         RpAgent_Act(agent, actions, RP_ACTION_DROP,
                     RP_COUNT_DROP_WRONG_SERVICE);
         return;
     }
     struct rp_flow *flow = RpFlowTable_Find(agent->flows, caller);
     if (flow) {
-        apply_caller(agent, now, flow, packet, &geneve->chain, actions);
+        handle_caller_packet(agent, now, flow, packet, &geneve->chain,
+                             actions);
     }
     else if (RpPacket_Opens(packet)) {
         RpAgent_Decide(agent, now, NULL, packet, &geneve->chain, actions);
@@ -310,9 +320,10 @@
     }
 }
 
+/* Sends the host's packet to the caller. */
 static void
-to_caller(struct rp_agent *agent, int64_t now, struct rp_flow *flow,
-          const struct rp_packet *packet, struct rp_actions *actions)
+forward_to_caller(struct rp_agent *agent, int64_t now, struct rp_flow *flow,
+                  const struct rp_packet *packet, struct rp_actions *actions)
 {
     actions->begins_answer = packet->payload_len > 0 &&
                              (flow->flags & RP_FLOW_AWAITED);
@@ -322,9 +333,10 @@
                  packet->data, packet->len);
 }
 
+/* Looks up a host's packet in the flow chart and performs the action. */
 static void
-apply_host(struct rp_agent *agent, int64_t now, struct rp_flow *flow,
-           const struct rp_packet *packet, struct rp_actions *actions)
+handle_host_packet(struct rp_agent *agent, int64_t now, struct rp_flow *flow,
+                   const struct rp_packet *packet, struct rp_actions *actions)
 {
     static const struct rp_chain no_chain = {.best_share = RP_CHAIN_NO_SHARE};
     enum rp_flow_event event = RpAgent_ClassifyHost(packet);
@@ -335,8 +347,9 @@
     }
     if (flow->state == RP_FLOW_REDIRECT && (flow->flags & RP_FLOW_UNSURE) &&
         event != RP_FLOW_EV_HRST && event != RP_FLOW_EV_HBACK) {
-        /* The agent may have forgotten that the flow is its host's, and the
-         * host's word counts more than its own redirect. */
+        /* This agent may have lost the entry of a flow that its host serves.
+         * A packet from the host proves ownership, so it overrides the
+         * redirect. */
         change_state(agent, flow, RP_FLOW_ASKING, now);
     }
     struct rp_chart_step step = RpChart_Step(agent->chart, flow->state, event);
@@ -348,11 +361,11 @@
                             now - flow->host_seen);
         }
         change_state(agent, flow, step.next, now);
-        to_caller(agent, now, flow, packet, actions);
+        forward_to_caller(agent, now, flow, packet, actions);
         break;
     case RP_FLOW_DO_ADOPT:
         RpAgent_Adopt(agent, flow, step.next, now);
-        to_caller(agent, now, flow, packet, actions);
+        forward_to_caller(agent, now, flow, packet, actions);
         break;
     case RP_FLOW_DO_RELEASE:
         RpAgent_Release(agent, now, flow, actions);
@@ -375,8 +388,8 @@
     }
 }
 
-/* An agent that has just started has no table yet, but its host's answers
- * are ready: callers get them all the same. */
+/* Handles a host's packet while the agent has no table, as just after its
+ * start. Answers go to their callers without delay. */
 static void
 forward_without_table(struct rp_agent *agent, const struct rp_packet *packet,
                       struct rp_actions *actions)
@@ -402,8 +415,8 @@
         RpCounters_Add(agent->counters, RP_COUNT_HOST_GAVE_BACK);
     }
     if (packet->returned && (packet->flags & RP_TCP_RST)) {
-        /* It went on to the other agents when it was shown to the host; sent
-         * on again, it would go round for ever. */
+        /* The agent already forwarded this reset to the next agent when it
+         * sent it to the host. Forwarding it again would create a loop. */
         RpAgent_Act(agent, actions, RP_ACTION_DROP, RP_COUNT_DROP_HOST_STRAY);
         return;
     }
@@ -411,14 +424,14 @@
         forward_without_table(agent, packet, actions);
         return;
     }
-    if (!is_own_address(agent->service, RpFlowKey_Target(caller))) {
+    if (!is_service_address(agent->service, RpFlowKey_Target(caller))) {
         RpAgent_Act(agent, actions, RP_ACTION_DROP,
                     RP_COUNT_DROP_WRONG_SERVICE);
         return;
     }
     struct rp_flow *flow = RpFlowTable_Find(agent->flows, caller);
     if (flow) {
-        apply_host(agent, now, flow, packet, actions);
+        handle_host_packet(agent, now, flow, packet, actions);
     }
     else {
         RpAgent_AdoptFromHost(agent, now, packet, actions);
@@ -430,14 +443,14 @@
                  struct rp_endpoint address, const struct rp_chain *chain,
                  struct rp_load *load)
 {
-    struct rp_agent_load mine = RpAgent_Load(agent, now);
+    struct rp_agent_load own = RpAgent_Load(agent, now);
 
     const struct rp_vip *vip = RpTable_FindVip(agent->table, address);
 
     *load = (struct rp_load){
-        .slots = mine.slots,
-        .busy = mine.busy,
-        .flows = mine.flows,
+        .slots = own.slots,
+        .busy = own.busy,
+        .flows = own.flows,
         .flow_limit = agent->service->flows_per_upstream,
         .position = chain->visited ? chain->visited - 1u : 0,
         .best_share = chain->best_share,
@@ -456,11 +469,11 @@
     const struct rp_agent_config *config = &agent->config;
     uint32_t slots = config->slots;
 
-    int64_t whole = config->ramp_until - config->ramp_from;
+    int64_t ramp_length = config->ramp_until - config->ramp_from;
 
-    if (whole > 0 && now < config->ramp_until) {
-        int64_t part = MAX(now - config->ramp_from, 0);
-        slots = (uint32_t)(slots * part / whole);
+    if (ramp_length > 0 && now < config->ramp_until) {
+        int64_t elapsed = MAX(now - config->ramp_from, 0);
+        slots = (uint32_t)(slots * elapsed / ramp_length);
     }
     return (struct rp_agent_load){
         .slots = MAX(slots, 1), .flows = agent->owned, .busy = agent->busy};
--- a/lib/flow/rp_agent_open.c
+++ b/lib/flow/rp_agent_open.c
@@ -1,16 +1,18 @@
-/* New flows: admission, retries, and half-open flows that another agent
- * has won. */
+/* SYNs and forwarded packets: admission of new flows, retries at the next
+ * candidate, and half-open flows that the caller opened with another host. */
 #include <string.h>
 
 #include "rp_agent_internal.h"
 
-#define CENTS 100
+#define CENTS_PER_RETRY 100 /* hundredths of a retry */
 
-/* A SYN never carries payload to a host: the caller sends it again once it
- * has an answer, and until then the flow may still move. */
+/* Copies a SYN without its payload and returns the copy's size. A SYN never
+ * delivers payload to a host, because the flow may still move to another
+ * host; the caller repeats the payload after the SYN-ACK. */
 static size_t
-trim_syn(struct rp_agent *agent, const struct rp_packet *packet,
-         uint8_t out[RP_SCRATCH_SIZE])
+copy_syn_without_payload(struct rp_agent *agent,
+                         const struct rp_packet *packet,
+                         uint8_t out[RP_SCRATCH_SIZE])
 {
     if (packet->payload_len > 0) {
         RpCounters_Add(agent->counters, RP_COUNT_SYN_TRIMMED);
@@ -20,10 +22,11 @@
     return packet->len;
 }
 
+/* Adds an action that sends `data` to the agent at `next`. */
 static void
-pass_action(struct rp_agent *agent, struct rp_actions *actions,
-            enum rp_counter reason, const uint8_t *data, size_t len,
-            const struct rp_chain *chain, struct rp_endpoint next)
+add_forward_action(struct rp_agent *agent, struct rp_actions *actions,
+                   enum rp_counter reason, const uint8_t *data, size_t len,
+                   const struct rp_chain *chain, struct rp_endpoint next)
 {
     struct rp_action *action = RpAgent_Act(agent, actions, RP_ACTION_PASS,
                                            reason);
@@ -35,9 +38,12 @@
     action->tag = agent->service->tag;
 }
 
+/* Records that another agent, reached through `next`, handles the flow.
+ * Within RP_SYN_LIFETIME_US of its start this agent may have lost the entry
+ * of a flow that it admitted, so the redirect is marked as unsure. */
 static void
-redirect_to(struct rp_agent *agent, struct rp_flow *flow,
-            struct rp_endpoint next, int64_t now)
+redirect_flow(struct rp_agent *agent, struct rp_flow *flow,
+              struct rp_endpoint next, int64_t now)
 {
     RpAgent_Enter(agent, flow, RP_FLOW_REDIRECT, now);
     flow->next_hop = next;
@@ -47,9 +53,12 @@
     }
 }
 
+/* Decides whether this agent takes a new flow; `*reason` is the counter of
+ * the decision. */
 static enum rp_verdict
-decide(struct rp_agent *agent, int64_t now, const struct rp_packet *packet,
-       const struct rp_chain *chain, enum rp_counter *reason)
+decide_admission(struct rp_agent *agent, int64_t now,
+                 const struct rp_packet *packet, const struct rp_chain *chain,
+                 enum rp_counter *reason)
 {
     struct rp_load load;
 
@@ -64,7 +73,7 @@
     }
     RpAgent_FillLoad(agent, now, RpFlowKey_Target(packet->key), chain, &load);
     load.waited_us = packet->waited_us;
-    /* When all others passed, an ill host is better than none. */
+    /* The last candidate uses an unhealthy host too: no other is left. */
     if (!load.last && !RpHealth_Allows(&agent->health, now)) {
         *reason = RP_COUNT_PASS_UNHEALTHY;
         return RP_VERDICT_PASS;
@@ -76,10 +85,10 @@
     return RpAdmission_Decide(agent->policy, &load, reason);
 }
 
-/* Makes sure that the flow has an entry; NULL when the table is full. */
+/* Returns `flow`, or a new entry if it is NULL; NULL if the table is full. */
 static struct rp_flow *
-entry_for(struct rp_agent *agent, struct rp_flow *flow,
-          struct rp_flow_key caller)
+find_or_insert_entry(struct rp_agent *agent, struct rp_flow *flow,
+                     struct rp_flow_key caller)
 {
     if (flow) {
         return flow;
@@ -90,9 +99,11 @@
     return RpFlowTable_Insert(agent->flows, caller);
 }
 
-/* Notes the SYN that opens a flow and forgets the flow before it. */
+/* Resets the entry for the flow that this SYN opens. Only the flags that the
+ * counts of owned flows and busy slots depend on are kept. */
 static void
-start_flow(struct rp_flow *flow, const struct rp_packet *packet, int64_t now)
+init_flow_from_syn(struct rp_flow *flow, const struct rp_packet *packet,
+                   int64_t now)
 {
     flow->flags &= RP_FLOW_OWNED | RP_FLOW_BUSY | RP_FLOW_RESERVED;
     flow->flags |= RP_FLOW_KNOWS_CALLER_ISN;
@@ -106,10 +117,11 @@
     flow->host_seen = now;
 }
 
-/* Tells the candidates that follow how busy this one is. */
+/* Updates the chain's lowest share with this agent's own, for the admission
+ * decisions of the candidates after it. */
 static void
-note_share(struct rp_agent *agent, int64_t now, struct rp_endpoint address,
-           struct rp_chain *chain)
+record_share(struct rp_agent *agent, int64_t now, struct rp_endpoint address,
+             struct rp_chain *chain)
 {
     struct rp_load load;
 
@@ -121,11 +133,12 @@
     }
 }
 
-/* Moves the chain on to where a new flow goes from here. */
+/* Chooses the agent to which a SYN is forwarded and advances the chain to
+ * it; false if no candidate is left. */
 static bool
-next_for_syn(struct rp_agent *agent, int64_t now, struct rp_chain *chain,
-             struct rp_flow_key caller, enum rp_counter reason,
-             struct rp_endpoint *next)
+choose_next_for_syn(struct rp_agent *agent, int64_t now,
+                    struct rp_chain *chain, struct rp_flow_key caller,
+                    enum rp_counter reason, struct rp_endpoint *next)
 {
     if (reason == RP_COUNT_PASS_BACK) {
         *next = chain->hop[chain->best];
@@ -134,14 +147,14 @@
     }
     chain->forced = false;
     if (reason == RP_COUNT_PASS_BUSY) {
-        note_share(agent, now, RpFlowKey_Target(caller), chain);
+        record_share(agent, now, RpFlowKey_Target(caller), chain);
     }
     return RpAgent_NextHop(agent, chain, caller, true, next);
 }
 
-/* Tells a caller at once that nobody takes its new flow. For a SYN that was
- * sent again nothing is said: an earlier copy may have been admitted by
- * another agent just now, and that flow must not be reset. */
+/* Refuses a new flow with a reset and removes its entry. A repeated SYN is
+ * dropped instead: another agent may just have admitted an earlier copy, and
+ * that flow must not be reset. */
 static void
 refuse_syn(struct rp_agent *agent, struct rp_flow *flow,
            const struct rp_packet *packet, enum rp_counter reason,
@@ -158,50 +171,52 @@
     }
 }
 
-/* Leaves a new flow to the next candidate, or refuses it when there is
- * none. */
+/* Forwards a SYN to the next candidate, or refuses the flow if there is
+ * none. `reason` is why this agent does not take the flow. */
 static void
-pass_syn(struct rp_agent *agent, int64_t now, struct rp_flow *flow,
-         const struct rp_packet *packet, const struct rp_chain *chain,
-         enum rp_counter reason, struct rp_actions *actions)
+forward_syn(struct rp_agent *agent, int64_t now, struct rp_flow *flow,
+            const struct rp_packet *packet, const struct rp_chain *chain,
+            enum rp_counter reason, struct rp_actions *actions)
 {
     struct rp_flow_key caller = packet->key;
-    struct rp_chain rest = *chain;
+    struct rp_chain remaining = *chain;
     struct rp_endpoint next;
 
-    if (!next_for_syn(agent, now, &rest, caller, reason, &next)) {
+    if (!choose_next_for_syn(agent, now, &remaining, caller, reason, &next)) {
         RpCounters_Add(agent->counters, reason);
         refuse_syn(agent, flow, packet, RP_COUNT_REFUSED_ALL, actions);
         return;
     }
-    flow = entry_for(agent, flow, caller);
+    flow = find_or_insert_entry(agent, flow, caller);
     if (flow) {
-        start_flow(flow, packet, now);
-        redirect_to(agent, flow, next, now);
+        init_flow_from_syn(flow, packet, now);
+        redirect_flow(agent, flow, next, now);
     }
     uint8_t *scratch = actions->scratch[actions->count];
-    size_t len = trim_syn(agent, packet, scratch);
-    pass_action(agent, actions, reason, scratch, len, &rest, next);
+    size_t len = copy_syn_without_payload(agent, packet, scratch);
+    add_forward_action(agent, actions, reason, scratch, len, &remaining, next);
 }
 
+/* Admits a flow: sends the SYN to the host, reserves a slot and keeps a copy
+ * of the SYN for a retry at another candidate. */
 static void
-give_syn_to_host(struct rp_agent *agent, int64_t now, struct rp_flow *flow,
+send_syn_to_host(struct rp_agent *agent, int64_t now, struct rp_flow *flow,
                  const struct rp_packet *packet, const struct rp_chain *chain,
                  enum rp_counter reason, struct rp_actions *actions)
 {
     uint8_t *scratch = actions->scratch[actions->count];
-    size_t len = trim_syn(agent, packet, scratch);
+    size_t len = copy_syn_without_payload(agent, packet, scratch);
 
-    start_flow(flow, packet, now);
+    init_flow_from_syn(flow, packet, now);
     RpAgent_Enter(agent, flow, RP_FLOW_OPENING, now);
     RpAgent_Reserve(agent, flow, now);
     RpHold_Put(agent->hold, flow->caller, chain, scratch, len);
     RpAgent_Send(agent, actions, RP_ACTION_TO_HOST, reason, scratch, len);
 }
 
-/* Each admitted flow earns a share of a retry. */
+/* Adds the service's share of a retry for an admitted flow. */
 static void
-earn_retry(struct rp_agent *agent)
+add_to_retry_budget(struct rp_agent *agent)
 {
     agent->retry_cents += (int32_t)agent->service->retries_percent;
     agent->retry_cents = MIN(agent->retry_cents, RP_RETRY_BURST_CENTS);
@@ -213,24 +228,25 @@
                struct rp_actions *actions)
 {
     enum rp_counter reason;
-    enum rp_verdict verdict = decide(agent, now, packet, chain, &reason);
+    enum rp_verdict verdict = decide_admission(agent, now, packet, chain,
+                                               &reason);
 
     if (verdict == RP_VERDICT_REFUSE) {
         refuse_syn(agent, flow, packet, reason, actions);
         return;
     }
     if (verdict != RP_VERDICT_TAKE) {
-        pass_syn(agent, now, flow, packet, chain, reason, actions);
+        forward_syn(agent, now, flow, packet, chain, reason, actions);
         return;
     }
-    flow = entry_for(agent, flow, packet->key);
+    flow = find_or_insert_entry(agent, flow, packet->key);
     if (!flow) {
-        pass_syn(agent, now, NULL, packet, chain, RP_COUNT_PASS_FLOW_LIMIT,
-                 actions);
+        forward_syn(agent, now, NULL, packet, chain, RP_COUNT_PASS_FLOW_LIMIT,
+                    actions);
         return;
     }
-    earn_retry(agent);
-    give_syn_to_host(agent, now, flow, packet, chain, reason, actions);
+    add_to_retry_budget(agent);
+    send_syn_to_host(agent, now, flow, packet, chain, reason, actions);
 }
 
 void
@@ -238,27 +254,27 @@
               const struct rp_packet *packet, const struct rp_chain *chain,
               struct rp_actions *actions)
 {
-    give_syn_to_host(agent, now, flow, packet, chain, RP_COUNT_FLOW_ADMITTED,
+    send_syn_to_host(agent, now, flow, packet, chain, RP_COUNT_FLOW_ADMITTED,
                      actions);
 }
 
-/* Takes one retry from the budget. */
+/* Takes one retry from the budget; false if less than one is left. */
 static bool
-spend_retry(struct rp_agent *agent)
+take_from_retry_budget(struct rp_agent *agent)
 {
-    if (agent->retry_cents < CENTS) {
+    if (agent->retry_cents < CENTS_PER_RETRY) {
         RpCounters_Add(agent->counters, RP_COUNT_RETRY_BUDGET_SPENT);
         return false;
     }
-    agent->retry_cents -= CENTS;
+    agent->retry_cents -= CENTS_PER_RETRY;
     return true;
 }
 
-/* The host refused and nobody else can take the flow: its refusal is the
- * answer, and a true one, for no payload was delivered to any host. */
+/* Sends the host's refusal to the caller when no other candidate can take
+ * the flow. The refusal is correct, as no host has received payload. */
 static void
-refuse(struct rp_agent *agent, int64_t now, struct rp_flow *flow,
-       const struct rp_packet *refusal, struct rp_actions *actions)
+deliver_refusal(struct rp_agent *agent, int64_t now, struct rp_flow *flow,
+                const struct rp_packet *refusal, struct rp_actions *actions)
 {
     if (refusal->returned) {
         refuse_syn(agent, flow, refusal, RP_COUNT_REFUSED_ALL, actions);
@@ -274,24 +290,26 @@
               const struct rp_packet *refusal, struct rp_actions *actions)
 {
     const struct rp_held *held = RpAgent_TakeHeld(agent, flow);
-    struct rp_chain rest = held ? held->chain : (struct rp_chain){0};
+    struct rp_chain remaining = held ? held->chain : (struct rp_chain){0};
     struct rp_endpoint next;
-    bool can = held &&
-               RpAgent_NextHop(agent, &rest, flow->caller, true, &next) &&
-               spend_retry(agent);
-
-    if (can) {
-        redirect_to(agent, flow, next, now);
-        pass_action(agent, actions,
-                    refusal ? RP_COUNT_RETRY_HOST_REFUSED
-                            : RP_COUNT_RETRY_HOST_SILENT,
-                    held->data, held->len, &rest, next);
+    bool can_retry = held &&
+                     RpAgent_NextHop(agent, &remaining, flow->caller, true,
+                                     &next) &&
+                     take_from_retry_budget(agent);
+
+    if (can_retry) {
+        redirect_flow(agent, flow, next, now);
+        add_forward_action(agent, actions,
+                           refusal ? RP_COUNT_RETRY_HOST_REFUSED
+                                   : RP_COUNT_RETRY_HOST_SILENT,
+                           held->data, held->len, &remaining, next);
     }
     else if (refusal) {
-        refuse(agent, now, flow, refusal, actions);
+        deliver_refusal(agent, now, flow, refusal, actions);
     }
     else if (held) {
-        /* Only this host is left: wait on; the caller repeats its SYN. */
+        /* No other candidate is left: wait for the host, and for the caller
+         * to repeat its SYN. */
         flow->deadline = now + RP_CONFIRM_PATIENCE_US;
     }
     else {
@@ -313,7 +331,8 @@
                             flow->caller_isn + 1, 0);
     }
     else {
-        /* The host gives its half-open flow up by itself. */
+        /* No reset can be made in this format. The host drops its half-open
+         * connection when its own timeout ends. */
         RpCounters_Add(agent->counters, RP_COUNT_FLOW_YIELDED);
     }
     flow->next_hop = (struct rp_endpoint){0};
@@ -335,12 +354,14 @@
                         0);
 }
 
-/* Another service behind the same virtual address may have the flow: shares
- * of new flows change, and open flows stay where they are. Moves the packet
- * on to it, once; the chain's mark says that this was done. */
+/* Forwards a packet whose owner is not among this service's agents to the
+ * next service behind the same virtual address. When the weights of the
+ * services change, open flows stay at the service that had them. A packet is
+ * forwarded like this once: `forced` in its chain marks that. Returns false
+ * if there is no such service. */
 static bool
-pass_to_sibling(struct rp_agent *agent, const struct rp_packet *packet,
-                const struct rp_chain *chain, struct rp_actions *actions)
+forward_to_sibling(struct rp_agent *agent, const struct rp_packet *packet,
+                   const struct rp_chain *chain, struct rp_actions *actions)
 {
     const struct rp_vip *vip = RpTable_FindVip(agent->table,
                                                RpFlowKey_Target(packet->key));
@@ -349,20 +370,21 @@
     for (size_t i = 0; vip && !chain->forced && i < vip->count; i++) {
         const struct rp_service *service = RpTable_FindId(
             agent->table, vip->targets[i].service_id);
-        const struct rp_member *ranked[RP_MAX_CHAIN];
-        struct rp_chain fresh = {
+        const struct rp_member *candidates[RP_MAX_CHAIN];
+        struct rp_chain sibling_chain = {
             .best_share = RP_CHAIN_NO_SHARE, .forced = true, .visited = 1};
         if (!service || service == agent->service) {
             continue;
         }
         size_t count = RpService_Rank(service, hash, RP_MEMBERS_SERVING,
-                                      ranked, RP_CHAIN_LENGTH);
+                                      candidates, RP_CHAIN_LENGTH);
         for (size_t j = 0; j < count; j++) {
-            RpChain_Append(&fresh, ranked[j]->agent);
+            RpChain_Append(&sibling_chain, candidates[j]->agent);
         }
         if (count > 0) {
-            pass_action(agent, actions, RP_COUNT_PASS_SIBLING, packet->data,
-                        packet->len, &fresh, fresh.hop[0]);
+            add_forward_action(agent, actions, RP_COUNT_PASS_SIBLING,
+                               packet->data, packet->len, &sibling_chain,
+                               sibling_chain.hop[0]);
             actions->item[actions->count - 1].tag = service->tag;
             return true;
         }
@@ -370,17 +392,21 @@
     return false;
 }
 
-/* Nobody is left to pass a packet to. */
+/* Handles a packet of an open flow when no agent is left that may own it.
+ * Tables can differ for a while, so the caller of a flow that has an entry is
+ * reset only after RP_OWNER_PATIENCE_US without an owner. */
 static void
-give_up(struct rp_agent *agent, int64_t now, struct rp_flow *flow,
-        const struct rp_packet *packet, struct rp_actions *actions)
+handle_missing_owner(struct rp_agent *agent, int64_t now, struct rp_flow *flow,
+                     const struct rp_packet *packet,
+                     struct rp_actions *actions)
 {
     if (flow && !(flow->flags & RP_FLOW_ORPHAN)) {
         flow->flags |= RP_FLOW_ORPHAN;
         flow->host_seen = now;
     }
-    bool waits = flow && now < flow->host_seen + RP_OWNER_PATIENCE_US;
-    if (waits || !RpAgent_CanForge(agent) || (packet->flags & RP_TCP_RST)) {
+    bool keep_waiting = flow && now < flow->host_seen + RP_OWNER_PATIENCE_US;
+    if (keep_waiting || !RpAgent_CanForge(agent) ||
+        (packet->flags & RP_TCP_RST)) {
         RpAgent_Act(agent, actions, RP_ACTION_DROP, RP_COUNT_DROP_NO_OWNER);
         return;
     }
@@ -393,23 +419,26 @@
              struct rp_actions *actions)
 {
     struct rp_flow_key caller = packet->key;
-    struct rp_chain rest = *chain;
+    struct rp_chain remaining = *chain;
     struct rp_endpoint next;
-    bool opens = RpPacket_Opens(packet);
-    bool known = flow && flow->state == RP_FLOW_REDIRECT &&
-                 flow->next_hop.port != 0;
-    bool found = known ? RpAgent_NextHopPrefer(agent, &rest, caller, opens,
-                                               flow->next_hop, &next)
-                       : RpAgent_NextHop(agent, &rest, caller, opens, &next);
-
-    if (!found && opens) {
-        /* Every candidate has passed it on, so each sees itself as last. */
+    bool is_new_flow = RpPacket_Opens(packet);
+    bool has_next_hop = flow && flow->state == RP_FLOW_REDIRECT &&
+                        flow->next_hop.port != 0;
+    bool found = has_next_hop ? RpAgent_NextHopPrefer(agent, &remaining,
+                                                      caller, is_new_flow,
+                                                      flow->next_hop, &next)
+                              : RpAgent_NextHop(agent, &remaining, caller,
+                                                is_new_flow, &next);
+
+    if (!found && is_new_flow) {
+        /* Every candidate has forwarded the SYN, so this agent decides as
+         * the last one. */
         RpAgent_Decide(agent, now, flow, packet, chain, actions);
         return;
     }
     if (!found) {
-        if (!pass_to_sibling(agent, packet, chain, actions)) {
-            give_up(agent, now, flow, packet, actions);
+        if (!forward_to_sibling(agent, packet, chain, actions)) {
+            handle_missing_owner(agent, now, flow, packet, actions);
         }
         return;
     }
@@ -420,10 +449,11 @@
     }
     const uint8_t *data = packet->data;
     size_t len = packet->len;
-    if (opens) {
+    if (is_new_flow) {
         uint8_t *scratch = actions->scratch[actions->count];
-        len = trim_syn(agent, packet, scratch);
+        len = copy_syn_without_payload(agent, packet, scratch);
         data = scratch;
     }
-    pass_action(agent, actions, RP_COUNT_FLOW_PASSED, data, len, &rest, next);
+    add_forward_action(agent, actions, RP_COUNT_FLOW_PASSED, data, len,
+                       &remaining, next);
 }
