--- a/lib/flow/rp_agent.h
+++ b/lib/flow/rp_agent.h
@@ -1,13 +1,16 @@
-/* The decisions of an agent, the process beside one upstream instance.
+/* The decisions of an agent, the process that runs beside one upstream
+ * instance.
  *
- * The agent owns the flows of its host: it admits new ones, gives their
- * packets to the host and the host's answers to the caller, and passes on
- * packets of flows that others own. Nothing here does I/O or reads a clock:
- * each call takes an event and the time and returns actions.
+ * An agent owns the flows of its host. It admits new flows, sends their
+ * packets to the host and the host's answers to the caller, and forwards
+ * packets of flows that other agents own. Nothing here does I/O or reads a
+ * clock: each call takes an event and the time, in microseconds on the
+ * monotonic clock, and returns actions that the caller of the function
+ * carries out.
  *
- * What the agent forgets (by a restart) it learns again: a packet of an
- * unknown flow is shown to the host, whose own connection table is the
- * truth. Any answer but a reset means that the flow is the host's.
+ * A restarted agent has lost its flow table and rebuilds it: it sends a
+ * packet of an unknown flow to the host, whose own connection table is
+ * authoritative. Any answer but a reset means that the host has the flow.
  */
 #ifndef RP_AGENT_H
 #define RP_AGENT_H
@@ -23,18 +26,20 @@
 #include "rp_packet.h"
 #include "rp_table.h"
 
-#define RP_MAX_ACTIONS 4
-#define RP_SCRATCH_SIZE RP_CODEC_SCRATCH /* of a packet made here */
+#define RP_MAX_ACTIONS 4 /* of one call */
+/* Bytes that a packet made by the agent fits into. */
+#define RP_SCRATCH_SIZE RP_CODEC_SCRATCH
 
 enum rp_action_kind {
     RP_ACTION_DROP,
     RP_ACTION_TO_HOST,
     RP_ACTION_TO_CALLER,
-    RP_ACTION_PASS /* to `next`, with `chain` */
+    RP_ACTION_PASS /* send to the agent at `next`, with `chain` and `tag` */
 };
 
-/* One thing to do. `data` points into the packet that was passed in, into
- * the agent or into `rp_actions` itself, and is valid until the next call. */
+/* One action. `data` is borrowed: it points into the packet that was passed
+ * in, into the agent or into the `rp_actions`, and is valid until the next
+ * call. */
 struct rp_action {
     enum rp_action_kind kind;
     enum rp_counter reason;
@@ -42,109 +47,121 @@
     size_t len;
     struct rp_endpoint next;
     struct rp_chain chain;
-    struct rp_service_tag tag; /* of a packet that is passed on */
+    struct rp_service_tag tag; /* of a forwarded packet */
 };
 
 struct rp_actions {
     size_t count;
     bool begins_request; /* the packet is the first of a request */
     bool begins_answer;  /* the packet is the first of an answer */
-    int64_t answer_us;   /* how long that took */
+    int64_t answer_us;   /* time from the request to this packet */
     struct rp_action item[RP_MAX_ACTIONS];
     uint8_t scratch[RP_MAX_ACTIONS][RP_SCRATCH_SIZE];
 };
 
-/* What the agent knows of its host. An agent that nobody tells of its host
- * takes it to be there. */
+/* The state of an agent's host. The agent assumes RP_HOST_READY until
+ * RpAgent_SetHostState is called. */
 enum rp_host_state {
     RP_HOST_READY,
-    RP_HOST_UNKNOWN, /* not heard of yet, or not for long */
+    RP_HOST_UNKNOWN, /* no report yet, or the last one is too old */
     RP_HOST_DRAINING,
     RP_HOST_GONE
 };
 
 struct rp_agent_config {
-    /* The format of packets; NULL: IPv4 with TCP. */
+    /* The format of packets; NULL means IPv4 with TCP. */
     const struct rp_codec *codec;
-    /* How long the host may take to answer a SYN or to disown a flow that
-     * it was asked about; 0: RP_SYN_PATIENCE_US. */
+    /* Microseconds that the host has to answer a SYN, or the packet of a flow
+     * about which it is queried; 0 means RP_SYN_PATIENCE_US. */
     int64_t patience;
-    struct rp_endpoint self; /* this agent, as chains name it */
+    struct rp_endpoint self; /* this agent's address in chains */
     int64_t started;         /* when the agent started */
     uint32_t slots;          /* requests the host serves at once */
     int64_t ramp_until;      /* end of the host's cold start */
-    int64_t ramp_from;       /* its begin */
-    uint64_t seed;
+    int64_t ramp_from;       /* start of the host's cold start */
+    uint64_t seed;           /* of the flow table's hash */
 };
 
-/* What the agent counts of its host. */
+/* The load of the host as its agent counts it. */
 struct rp_agent_load {
-    uint32_t slots;
-    uint32_t flows;
-    uint32_t busy;
+    uint32_t slots; /* at present: fewer during a cold start */
+    uint32_t flows; /* flows that the agent owns */
+    uint32_t busy;  /* flows with an outstanding or expected request */
 };
 
 struct rp_agent;
 
-/* `policy` is taken over; `chart` and `counters` are borrowed. NULL if a
- * chart of the agent's own cannot be read. */
+/* Creates an agent without a table. It owns `policy` from then on; `chart`
+ * and `counters` are borrowed. Returns NULL if upstream.chart cannot be
+ * parsed; `policy` is freed then. */
 struct rp_agent *RpAgent_Create(const struct rp_agent_config *config,
                                 const struct rp_chart *chart,
                                 struct rp_admission *policy,
                                 struct rp_counters *counters);
 
+/* Frees the agent and its policy; `agent` may be NULL. */
 void RpAgent_Free(struct rp_agent *agent);
 
-/* Gives the agent its table; borrowed, may change between calls. `service`
- * is the agent's own service in it, or NULL while it has none. */
+/* Sets the agent's table, which is borrowed and may change between calls.
+ * `service` is the agent's own service in the table, or NULL if the table does
+ * not have it. */
 void RpAgent_SetTable(struct rp_agent *agent, const struct rp_table *table,
                       const struct rp_service *service);
 
-/* From now on: no new flows (true), or new flows again (false). */
+/* Sets whether the agent is draining: it then admits no new flows. */
 void RpAgent_SetDraining(struct rp_agent *agent, bool draining);
 
-/* What the host says of itself. While it is not ready it gets no new
- * flows. */
+/* Sets the state that the host reports. The agent admits new flows only in
+ * RP_HOST_READY. */
 void RpAgent_SetHostState(struct rp_agent *agent, enum rp_host_state state);
 
-/* Its slots. A cold start does not count here: a slow host's requests take
- * longer, and so fill its slots by themselves. */
+/* Sets the host's slots; 0 counts as 1. A cold start needs no lower number
+ * here: the requests of a slow host take longer and so occupy its slots for
+ * longer. */
 void RpAgent_SetHostSlots(struct rp_agent *agent, uint32_t slots);
 
-/* The agent has run since before its host started: it knows every flow of
- * the host, and an unknown one is certainly not the host's. */
+/* Tells the agent that it has run since before its host started. It then
+ * knows every flow of the host, and forwards packets of unknown flows without
+ * querying the host. */
 void RpAgent_SetKnowsAll(struct rp_agent *agent);
 
-/* The host has started anew and holds none of its flows any more: their
- * callers are told by the next calls of RpAgent_OnTimer. */
+/* Tells the agent that the host has restarted and lost all flows. The next
+ * calls of RpAgent_OnTimer reset their callers. Implies
+ * RpAgent_SetKnowsAll. */
 void RpAgent_HostRestarted(struct rp_agent *agent, int64_t now);
 
-/* The first time at which RpAgent_OnTimer has something to do. */
+/* Returns the time at which RpAgent_OnTimer must be called next; 0 means at
+ * once, RP_NEVER that no timer is set. */
 int64_t RpAgent_NextTimer(const struct rp_agent *agent);
 
-/* A packet on its way to the host. `geneve` is what it came in. */
+/* Handles a packet from a caller. `geneve` holds the tag and the chain that
+ * the packet arrived with. */
 void RpAgent_FromCaller(struct rp_agent *agent, int64_t now,
                         const struct rp_packet *packet,
                         const struct rp_geneve *geneve,
                         struct rp_actions *actions);
 
-/* A packet that the host sent. */
+/* Handles a packet from the host, or a caller's packet that the host returned
+ * (`packet->returned`). */
 void RpAgent_FromHost(struct rp_agent *agent, int64_t now,
                       const struct rp_packet *packet,
                       struct rp_actions *actions);
 
-/* Handles at most one flow whose deadline has passed; call it until it
- * returns false. */
+/* Handles at most one flow with an expired timer, or sends one packet that
+ * the gate released. Returns false if nothing is left to do; callers repeat
+ * the call until then. */
 bool RpAgent_OnTimer(struct rp_agent *agent, int64_t now,
                      struct rp_actions *actions);
 
+/* Returns the host's load at `now`. */
 struct rp_agent_load RpAgent_Load(const struct rp_agent *agent, int64_t now);
 
-/* The state of a flow as its caller names it, as in charts/flow.chart. */
+/* Returns the enum rp_flow_state of a flow; RP_FLOW_NONE without an entry.
+ * The source of `flow` is the caller. */
 uint8_t RpAgent_FlowState(const struct rp_agent *agent,
                           struct rp_flow_key flow);
 
-/* Bytes that the flow table takes. */
+/* Returns the memory that the flow table uses, in bytes. */
 size_t RpAgent_Bytes(const struct rp_agent *agent);
 
 #endif
--- a/lib/flow/rp_agent_chain.c
+++ b/lib/flow/rp_agent_chain.c
@@ -1,10 +1,10 @@
-/* Which agent a packet goes to next. */
+/* The choice of the agent to which a packet is forwarded. */
 #include "rp_agent_internal.h"
 
-/* Moves on within the candidates that the chain names. */
+/* Advances to the next candidate in the chain that is not this agent. */
 static bool
-next_named(const struct rp_agent *agent, struct rp_chain *chain,
-           struct rp_endpoint *next)
+next_in_chain(const struct rp_agent *agent, struct rp_chain *chain,
+              struct rp_endpoint *next)
 {
     while (chain->visited < chain->count) {
         *next = chain->hop[chain->visited++];
@@ -15,8 +15,9 @@
     return false;
 }
 
-/* Adds the best member that the chain does not name yet, by this agent's
- * own table, which may be newer than the one the chain was made from. */
+/* Appends the best-ranked member in one of `states` that the chain does not
+ * contain, from this agent's own table. That table may be newer than the one
+ * that the chain was made from. */
 static bool
 next_from_table(const struct rp_agent *agent, struct rp_chain *chain,
                 struct rp_flow_key caller, unsigned states,
@@ -45,25 +46,27 @@
 
 bool
 RpAgent_NextHop(const struct rp_agent *agent, struct rp_chain *chain,
-                struct rp_flow_key caller, bool opens,
+                struct rp_flow_key caller, bool is_new_flow,
                 struct rp_endpoint *next)
 {
-    if (next_named(agent, chain, next)) {
+    if (next_in_chain(agent, chain, next)) {
         return true;
     }
-    if (opens) {
+    if (is_new_flow) {
         return next_from_table(agent, chain, caller, RP_MEMBERS_READY, next);
     }
-    /* A packet ends at an agent that is gone: those come last. */
+    /* A lost agent may not answer, and then the packet goes no further: try
+     * those last. */
     return next_from_table(agent, chain, caller, RP_MEMBERS_SERVING, next) ||
            next_from_table(agent, chain, caller, RP_MEMBERS_LOST, next);
 }
 
-/* Whether a new flow may go to this endpoint. An open flow follows its
- * owner wherever that is: this table may be older than the one by which the
- * flow was placed, and an upstream out of lease still serves its flows. */
+/* Whether a new flow may go to this endpoint. Packets of open flows need no
+ * such check and go to the owner in any case: this table may be older than the
+ * one by which the flow was placed, and an upstream whose lease has ended
+ * still serves its flows. */
 static bool
-takes_new_flows(const struct rp_agent *agent, struct rp_endpoint endpoint)
+accepts_new_flows(const struct rp_agent *agent, struct rp_endpoint endpoint)
 {
     const struct rp_service *service = agent->service;
 
@@ -77,22 +80,22 @@
 
 bool
 RpAgent_NextHopPrefer(const struct rp_agent *agent, struct rp_chain *chain,
-                      struct rp_flow_key caller, bool opens,
-                      struct rp_endpoint wanted, struct rp_endpoint *next)
+                      struct rp_flow_key caller, bool is_new_flow,
+                      struct rp_endpoint preferred, struct rp_endpoint *next)
 {
-    size_t place = 0;
+    size_t index = 0;
 
-    while (place < chain->count &&
-           !RpEndpoint_Equal(chain->hop[place], wanted)) {
-        place++;
+    while (index < chain->count &&
+           !RpEndpoint_Equal(chain->hop[index], preferred)) {
+        index++;
     }
-    bool visited = place < chain->visited;
-    if (visited || (opens && !takes_new_flows(agent, wanted)) ||
-        (place == chain->count && !RpChain_Append(chain, wanted))) {
-        return RpAgent_NextHop(agent, chain, caller, opens, next);
+    bool visited = index < chain->visited;
+    if (visited || (is_new_flow && !accepts_new_flows(agent, preferred)) ||
+        (index == chain->count && !RpChain_Append(chain, preferred))) {
+        return RpAgent_NextHop(agent, chain, caller, is_new_flow, next);
     }
-    chain->hop[place] = chain->hop[chain->visited];
-    chain->hop[chain->visited++] = wanted;
-    *next = wanted;
+    chain->hop[index] = chain->hop[chain->visited];
+    chain->hop[chain->visited++] = preferred;
+    *next = preferred;
     return true;
 }
--- a/lib/flow/rp_agent_classify.c
+++ b/lib/flow/rp_agent_classify.c
@@ -1,8 +1,9 @@
-/* Which event of charts/flow.chart a packet is. */
+/* Classification of packets into the events of charts/flow.chart. */
 #include "rp_agent_internal.h"
 
-/* A sequence number this far past the first one may have wrapped around. */
-#define LATE_CHECK_SPAN (INT32_C(1) << 30)
+/* Beyond this many bytes after the initial sequence number, later comparisons
+ * with it may be wrong because sequence numbers wrap around. */
+#define MAX_COMPARABLE_SPAN (INT32_C(1) << 30)
 
 /* Whether a segment is older than the SYN that opened the flow. */
 static bool
@@ -10,13 +11,14 @@
 {
     return (flow->flags & RP_FLOW_KNOWS_CALLER_ISN) &&
            RpSeq_Distance(flow->caller_isn, flow->caller_next) <
-               LATE_CHECK_SPAN &&
+               MAX_COMPARABLE_SPAN &&
            RpSeq_Distance(flow->caller_isn, packet->seq) < 0;
 }
 
-/* Whether the caller acknowledges something that this host did not send. */
+/* Whether the caller acknowledges a SYN-ACK or data that this host did not
+ * send: it has connected to another host. */
 static bool
-is_alien(const struct rp_flow *flow, const struct rp_packet *packet)
+acks_other_host(const struct rp_flow *flow, const struct rp_packet *packet)
 {
     if (flow->state != RP_FLOW_ANSWERED ||
         !(flow->flags & RP_FLOW_KNOWS_HOST_ISN) ||
@@ -35,8 +37,8 @@
         return RP_FLOW_EV_REUSE;
     }
     if (packet->seq == flow->caller_isn) {
-        bool back = forced && flow->state == RP_FLOW_REDIRECT;
-        return back ? RP_FLOW_EV_BACK : RP_FLOW_EV_SYN;
+        bool was_sent_back = forced && flow->state == RP_FLOW_REDIRECT;
+        return was_sent_back ? RP_FLOW_EV_BACK : RP_FLOW_EV_SYN;
     }
     return is_late(flow, packet) ? RP_FLOW_EV_LATE : RP_FLOW_EV_REUSE;
 }
@@ -51,7 +53,7 @@
     if (is_late(flow, packet)) {
         return RP_FLOW_EV_LATE;
     }
-    if (is_alien(flow, packet)) {
+    if (acks_other_host(flow, packet)) {
         return RP_FLOW_EV_ALIEN;
     }
     if (packet->flags & RP_TCP_RST) {
@@ -78,21 +80,20 @@
     return packet->flags & RP_TCP_FIN ? RP_FLOW_EV_HFIN : RP_FLOW_EV_HDATA;
 }
 
-/* Whether a host's reset answers a segment of another host's flow that was
- * shown to it, and not the flow that it has itself. */
 bool
 RpAgent_IsForeignReset(const struct rp_flow *flow,
                        const struct rp_packet *packet)
 {
     if (flow->state == RP_FLOW_OPENING) {
-        return !(packet->flags & RP_TCP_ACK);
+        return !(packet->flags & RP_TCP_ACK); /* a refusal has ACK set */
     }
     if (!(flow->flags & RP_FLOW_KNOWS_HOST_ISN) ||
         (packet->flags & RP_TCP_ACK)) {
         return false;
     }
-    bool young = RpSeq_Distance(flow->host_isn, flow->host_next) <
-                 LATE_CHECK_SPAN;
+    bool has_not_wrapped = RpSeq_Distance(flow->host_isn, flow->host_next) <
+                           MAX_COMPARABLE_SPAN;
     return RpSeq_Distance(packet->seq, flow->host_next) < 0 ||
-           (young && RpSeq_Distance(flow->host_isn, packet->seq) < 0);
+           (has_not_wrapped &&
+            RpSeq_Distance(flow->host_isn, packet->seq) < 0);
 }
--- a/lib/flow/rp_agent_flow.c
+++ b/lib/flow/rp_agent_flow.c
@@ -1,5 +1,5 @@
-/* What the agent keeps of one flow: its state, its counts, its sequence
- * numbers. */
+/* The entry of one flow: its state and deadline, the counts of owned and busy
+ * flows, and the sequence numbers of both ends. */
 #include <assert.h>
 
 #include "rp_agent_internal.h"
@@ -7,16 +7,16 @@
 void
 RpAgent_SetBusy(struct rp_agent *agent, struct rp_flow *flow, bool busy)
 {
-    bool was = flow->flags & RP_FLOW_BUSY;
+    bool was_busy = flow->flags & RP_FLOW_BUSY;
 
-    if (busy && !was) {
+    if (busy && !was_busy) {
         flow->flags |= RP_FLOW_BUSY;
         agent->busy++;
     }
     if (!busy) {
         RpAgent_GateLeave(agent, flow);
     }
-    if (!busy && was) {
+    if (!busy && was_busy) {
         flow->flags &= (uint16_t) ~(RP_FLOW_BUSY | RP_FLOW_RESERVED);
         assert(agent->busy > 0);
         agent->busy--;
@@ -26,21 +26,22 @@
 static void
 set_owned(struct rp_agent *agent, struct rp_flow *flow, bool owned)
 {
-    bool was = flow->flags & RP_FLOW_OWNED;
+    bool was_owned = flow->flags & RP_FLOW_OWNED;
 
-    if (owned && !was) {
+    if (owned && !was_owned) {
         flow->flags |= RP_FLOW_OWNED;
         agent->owned++;
     }
-    if (!owned && was) {
+    if (!owned && was_owned) {
         flow->flags &= (uint16_t)~RP_FLOW_OWNED;
         assert(agent->owned > 0);
         agent->owned--;
     }
 }
 
+/* When a flow that enters `state` at `now` needs its timer event. */
 static int64_t
-deadline_of(const struct rp_agent *agent, uint8_t state, int64_t now)
+state_deadline(const struct rp_agent *agent, uint8_t state, int64_t now)
 {
     switch (state) {
     case RP_FLOW_OPENING:
@@ -57,8 +58,9 @@
     }
 }
 
+/* Appends a timer to a queue whose timers all have the same duration. */
 static void
-push_timer(GQueue *queue, struct rp_flow_key caller, int64_t deadline)
+append_timer(GQueue *queue, struct rp_flow_key caller, int64_t deadline)
 {
     struct rp_short_timer *timer = g_new(struct rp_short_timer, 1);
 
@@ -72,11 +74,12 @@
 {
     RpAgent_SetBusy(agent, flow, true);
     flow->flags |= RP_FLOW_RESERVED;
-    push_timer(&agent->reserves, flow->caller, now + RP_RESERVE_US);
+    append_timer(&agent->reserves, flow->caller, now + RP_RESERVE_US);
 }
 
+/* Whether this agent counts as the owner of a flow in `state`. */
 static bool
-is_owning(uint8_t state)
+is_owner_state(uint8_t state)
 {
     return state != RP_FLOW_CLOSED && state != RP_FLOW_REDIRECT &&
            state != RP_FLOW_ASKING;
@@ -96,13 +99,13 @@
         RpCounters_Add(agent->counters, RP_COUNT_FLOW_CLOSED);
     }
     flow->state = state;
-    flow->deadline = deadline_of(agent, state, now);
-    set_owned(agent, flow, is_owning(state));
-    if (!is_owning(state)) {
+    flow->deadline = state_deadline(agent, state, now);
+    set_owned(agent, flow, is_owner_state(state));
+    if (!is_owner_state(state)) {
         RpAgent_SetBusy(agent, flow, false);
     }
     if (RpAgent_HasShortTimer(state)) {
-        push_timer(&agent->short_timers, flow->caller, flow->deadline);
+        append_timer(&agent->short_timers, flow->caller, flow->deadline);
     }
 }
 
@@ -115,27 +118,28 @@
     RpFlowTable_Remove(agent->flows, flow);
 }
 
-/* Payload as the host gets it: that of a SYN is cut. */
+/* Payload bytes that the host gets: a SYN is delivered without payload. */
 static uint32_t
-delivered_payload(const struct rp_packet *packet)
+host_payload_len(const struct rp_packet *packet)
 {
     return packet->flags & RP_TCP_SYN ? 0 : packet->payload_len;
 }
 
-/* The sequence number after everything that a segment delivers. */
+/* The sequence number that follows the segment. */
 static uint32_t
 segment_end(const struct rp_packet *packet)
 {
-    return packet->seq + delivered_payload(packet) +
+    return packet->seq + host_payload_len(packet) +
            ((packet->flags & RP_TCP_SYN) ? 1 : 0) +
            ((packet->flags & RP_TCP_FIN) ? 1 : 0);
 }
 
+/* Moves `*seq` forward to `to`, never back. */
 static void
-advance(uint32_t *mark, uint32_t to)
+advance_seq(uint32_t *seq, uint32_t to)
 {
-    if (RpSeq_Distance(*mark, to) > 0) {
-        *mark = to;
+    if (RpSeq_Distance(*seq, to) > 0) {
+        *seq = to;
     }
 }
 
@@ -147,31 +151,34 @@
     bool is_new = RpSeq_Distance(flow->caller_next, end) > 0;
 
     flow->caller_seen = now;
-    advance(&flow->caller_next, end);
+    advance_seq(&flow->caller_next, end);
     if (packet->flags & RP_TCP_ACK) {
-        advance(&flow->caller_acked, packet->ack);
+        advance_seq(&flow->caller_acked, packet->ack);
     }
-    if (!is_new || delivered_payload(packet) == 0 ||
+    if (!is_new || host_payload_len(packet) == 0 ||
         !(flow->flags & RP_FLOW_OWNED)) {
         return false;
     }
-    bool begins = !(flow->flags & RP_FLOW_BUSY) ||
-                  (flow->flags & RP_FLOW_RESERVED);
-    if (begins) {
+    bool begins_request = !(flow->flags & RP_FLOW_BUSY) ||
+                          (flow->flags & RP_FLOW_RESERVED);
+    if (begins_request) {
         flow->request_since = now;
         flow->flags |= RP_FLOW_AWAITED;
         flow->flags &= (uint16_t)~RP_FLOW_UNQUEUED;
     }
     RpAgent_SetBusy(agent, flow, true);
-    if (begins && agent->busy <= agent->config.slots) {
+    if (begins_request && agent->busy <= agent->config.slots) {
         flow->flags |= RP_FLOW_UNQUEUED;
     }
     flow->flags &= (uint16_t)~RP_FLOW_RESERVED;
-    return begins;
+    return begins_request;
 }
 
+/* Updates the mean service time when the first byte of an answer arrives. Only
+ * a request that found a free slot measures the service time directly. */
 static void
-learn_work(struct rp_agent *agent, const struct rp_flow *flow, int64_t now)
+record_service_time(struct rp_agent *agent, const struct rp_flow *flow,
+                    int64_t now)
 {
     RpWork_Answered(&agent->work, now, agent->busy, agent->config.slots);
     if (flow->flags & RP_FLOW_UNQUEUED) {
@@ -186,7 +193,7 @@
     flow->host_seen = now;
     if (packet->payload_len > 0 && (flow->flags & RP_FLOW_AWAITED)) {
         flow->flags &= (uint16_t)~RP_FLOW_AWAITED;
-        learn_work(agent, flow, now);
+        record_service_time(agent, flow, now);
         RpCounters_Time(agent->counters, RP_HISTOGRAM_FIRST_BYTE,
                         now - flow->request_since);
     }
@@ -197,14 +204,14 @@
         flow->flags |= RP_FLOW_KNOWS_HOST_ISN;
     }
     else {
-        advance(&flow->host_next, segment_end(packet));
+        advance_seq(&flow->host_next, segment_end(packet));
     }
     if (packet->flags & RP_TCP_ACK) {
-        advance(&flow->host_acked, packet->ack);
+        advance_seq(&flow->host_acked, packet->ack);
     }
-    /* A sender marks the end of what it had to say with PSH. */
-    bool ends = packet->flags & (RP_TCP_PSH | RP_TCP_FIN);
-    if (ends && (packet->payload_len || (packet->flags & RP_TCP_FIN))) {
+    /* A sender sets PSH on the last segment of an answer. */
+    bool ends_answer = packet->flags & (RP_TCP_PSH | RP_TCP_FIN);
+    if (ends_answer && (packet->payload_len || (packet->flags & RP_TCP_FIN))) {
         RpAgent_GateLearn(flow, now);
         RpAgent_SetBusy(agent, flow, false);
     }
--- a/lib/flow/rp_agent_gate.c
+++ b/lib/flow/rp_agent_gate.c
@@ -1,12 +1,13 @@
-/* Requests that wait at the gate (rp_gate.h): their packets are kept in
- * order and go to the host together. Nothing of a flow overtakes them. */
+/* Packet queues for the gate (rp_gate.h). Packets of a request that waits for
+ * a slot are queued in order and go to the host together; later segments of
+ * the same flow do not overtake them. */
 #include <assert.h>
 #include <string.h>
 
 #include "rp_agent_internal.h"
 
-#define MAX_KEPT_PACKETS 64       /* of one flow */
-#define MAX_KEPT_BYTES (16 << 20) /* of all flows */
+#define MAX_QUEUED_PACKETS 64       /* packets of one flow */
+#define MAX_QUEUED_BYTES (16 << 20) /* bytes of all flows */
 #define ALL_PERCENT 100
 
 static void
@@ -56,10 +57,11 @@
     return copy;
 }
 
-/* Adds a packet to those kept for a flow; false if there is no room. */
+/* Appends a copy of a packet to the queue of its flow; false if either limit
+ * is reached. */
 static bool
-keep(struct rp_agent *agent, const struct rp_flow *flow,
-     const struct rp_packet *packet)
+queue_packet(struct rp_agent *agent, const struct rp_flow *flow,
+             const struct rp_packet *packet)
 {
     GQueue *packets = g_hash_table_lookup(agent->kept, &flow->caller);
 
@@ -69,8 +71,8 @@
                             g_memdup2(&flow->caller, sizeof flow->caller),
                             packets);
     }
-    if (packets->length >= MAX_KEPT_PACKETS ||
-        agent->kept_bytes + packet->len > MAX_KEPT_BYTES) {
+    if (packets->length >= MAX_QUEUED_PACKETS ||
+        agent->kept_bytes + packet->len > MAX_QUEUED_BYTES) {
         return false;
     }
     g_queue_push_tail(packets, copy_packet(packet));
@@ -78,8 +80,10 @@
     return true;
 }
 
+/* Marks that the flow's request occupies a slot. Its service time counts from
+ * now, without the time in the queue. */
 static void
-mark_inside(struct rp_flow *flow, bool is_long, int64_t now)
+mark_admitted(struct rp_flow *flow, bool is_long, int64_t now)
 {
     flow->flags &= (uint16_t)~RP_FLOW_GATED;
     flow->flags |= RP_FLOW_INSIDE;
@@ -87,9 +91,10 @@
     flow->request_since = now;
 }
 
-/* Moves a flow's kept packets on to the host. */
+/* Moves a flow's queued packets to the list of packets that go to the host
+ * next. */
 static void
-release(struct rp_agent *agent, struct rp_flow *flow)
+release_packets(struct rp_agent *agent, struct rp_flow *flow)
 {
     GQueue *packets = g_hash_table_lookup(agent->kept, &flow->caller);
     struct rp_held *packet;
@@ -108,14 +113,15 @@
     bool is_long = flow->flags & RP_FLOW_LONG;
 
     if (flow->flags & RP_FLOW_GATED) {
-        if (keep(agent, flow, packet)) {
+        if (queue_packet(agent, flow, packet)) {
             return true;
         }
-        /* No room to keep more: it goes in as it is. What was kept goes
-         * first; this packet is left to the caller to repeat. */
+        /* The queue is full: release the queued packets without a slot. This
+         * packet is dropped, as it must not overtake them, and the caller
+         * sends it again. */
         RpGate_Cancel(agent->gate, flow->caller);
         flow->flags &= (uint16_t)~RP_FLOW_GATED;
-        release(agent, flow);
+        release_packets(agent, flow);
         return true;
     }
     if (packet->payload_len == 0 || (flow->flags & RP_FLOW_INSIDE) ||
@@ -123,12 +129,12 @@
         return false;
     }
     if (RpGate_Enter(agent->gate, now, flow->caller, is_long)) {
-        mark_inside(flow, is_long, now);
+        mark_admitted(flow, is_long, now);
         return false;
     }
     RpCounters_Add(agent->counters, RP_COUNT_REQUEST_HELD);
     flow->flags |= RP_FLOW_GATED;
-    keep(agent, flow, packet);
+    queue_packet(agent, flow, packet);
     return true;
 }
 
@@ -140,7 +146,7 @@
     }
     if (flow->flags & RP_FLOW_GATED) {
         RpGate_Cancel(agent->gate, flow->caller);
-        release(agent, flow);
+        release_packets(agent, flow);
     }
     flow->flags &= (uint16_t) ~(RP_FLOW_INSIDE | RP_FLOW_INSIDE_LONG |
                                 RP_FLOW_GATED);
@@ -158,9 +164,10 @@
     }
 }
 
-/* Lets the next waiting request in, if there is one. */
+/* Releases the packets of the next request that gets a slot or has waited for
+ * the longest allowed time; false if there is none. */
 static bool
-let_next_in(struct rp_agent *agent, int64_t now)
+admit_next_request(struct rp_agent *agent, int64_t now)
 {
     struct rp_flow_key caller;
     bool is_long;
@@ -172,8 +179,8 @@
     assert(flow && (flow->flags & RP_FLOW_GATED));
     RpCounters_Time(agent->counters, RP_HISTOGRAM_REQUEST_KEPT,
                     now - flow->request_since);
-    mark_inside(flow, is_long, now);
-    release(agent, flow);
+    mark_admitted(flow, is_long, now);
+    release_packets(agent, flow);
     return true;
 }
 
@@ -181,7 +188,7 @@
 RpAgent_GatePump(struct rp_agent *agent, int64_t now,
                  struct rp_actions *actions)
 {
-    while (agent->released.length == 0 && let_next_in(agent, now)) {
+    while (agent->released.length == 0 && admit_next_request(agent, now)) {
     }
     agent->taken = g_queue_pop_head(&agent->released);
     if (!agent->taken) {
--- a/lib/flow/rp_agent_internal.h
+++ b/lib/flow/rp_agent_internal.h
@@ -1,4 +1,4 @@
-/* The agent's own parts, shared by the rp_agent_*.c files. */
+/* The agent's struct and the functions that the rp_agent_*.c files share. */
 #ifndef RP_AGENT_INTERNAL_H
 #define RP_AGENT_INTERNAL_H
 
@@ -13,39 +13,42 @@
 #include "rp_time.h"
 #include "rp_work.h"
 
-/* How long a host may take to answer a SYN before the next one is tried. */
+/* Time that a host has to answer a SYN before the next candidate is tried. */
 #define RP_SYN_PATIENCE_US (250 * RP_US_PER_MS)
-/* How long an idle flow is remembered where its ends cannot be probed.
- * Flows that live longer are found again through the host. */
+/* How long the entry of an idle flow is kept in formats in which its ends
+ * cannot be probed. If a flow continues after that, the agent learns it again
+ * from its host. */
 #define RP_IDLE_FORGET_US (120 * RP_US_PER_SECOND)
-/* How long a slot is kept for the first request of a new flow. */
+/* How long a slot is reserved for the first request of a new flow. */
 #define RP_RESERVE_US RP_SYN_PATIENCE_US
-/* How long a copy of a SYN may wander about. An agent that has run longer
- * knows every flow whose SYN it can still see. */
+/* Longest time for which copies of a SYN can be in the network. An agent that
+ * has run longer has seen the start of every flow whose SYN still arrives. */
 #define RP_SYN_LIFETIME_US (120 * RP_US_PER_SECOND)
-/* How long an owner is looked for. Tables may differ for as long as a change
- * may take to be in force everywhere (7 s), so a flow that nobody seems to
- * have may still be found. */
+/* How long packets of a flow without a known owner are dropped before its
+ * caller is reset. A change takes up to 7 s to reach every table, and until
+ * then the owner may still be found. */
 #define RP_OWNER_PATIENCE_US (10 * RP_US_PER_SECOND)
-/* How long an answered SYN may stay unconfirmed. */
+/* How long the caller may take to acknowledge a SYN-ACK. */
 #define RP_CONFIRM_PATIENCE_US (60 * RP_US_PER_SECOND)
-/* How long a closed flow and an unused redirect are remembered. */
+/* How long the entry of a closed flow and of an unused redirect is kept. */
 #define RP_CLOSED_LINGER_US (60 * RP_US_PER_SECOND)
 #define RP_REDIRECT_LINGER_US (120 * RP_US_PER_SECOND)
-/* An answer that takes longer than this makes its flow one for long work. */
+/* A request whose answer takes this long marks its flow as one with long
+ * requests, which may fill only a share of the slots. */
 #define RP_LONG_AFTER_US (200 * RP_US_PER_MS)
-/* Entries of any kind; a SYN flood gets no further than this. */
+/* Entries in any state. Bounds the memory that a SYN flood can take. */
 #define RP_AGENT_MAX_ENTRIES 1000000
-/* Retries that may be saved up, in hundredths of a retry. */
+/* Largest retry budget, in hundredths of a retry. */
 #define RP_RETRY_BURST_CENTS 2000
 
-/* A flow whose deadline is short, in the order of the deadlines: all of
- * them are the same time after they were set. */
+/* A timer in a FIFO queue. All timers of a queue have the same duration, so
+ * they are in the order of their deadlines. */
 struct rp_short_timer {
     struct rp_flow_key caller;
     int64_t deadline;
 };
 
+/* An agent. The queues and the counts below mirror the entries of `flows`. */
 struct rp_agent {
     struct rp_agent_config config;
     const struct rp_chart *chart;
@@ -54,34 +57,37 @@
     const struct rp_table *table;
     const struct rp_service *service;
     bool draining;
-    bool knows_all; /* there is no flow of the host that it does not know */
+    bool knows_all; /* `flows` has every flow of the host */
     enum rp_host_state host;
-    GArray *lost; /* of struct rp_flow_key: the host has lost them */
+    GArray *lost; /* of struct rp_flow_key: flows that the host has lost */
     struct rp_health health;
     struct rp_flow_table *flows;
     struct rp_hold *hold;
-    struct rp_held *taken; /* what the last actions may point into */
+    struct rp_held *taken; /* kept for the actions of the last call */
     struct rp_gate *gate;
-    GHashTable *kept; /* caller -> GQueue of struct rp_held, at the gate */
-    size_t kept_bytes;
-    GQueue released;     /* of struct rp_held, on their way to the host */
-    GQueue short_timers; /* of struct rp_short_timer, for states */
-    GQueue reserves;     /* of struct rp_short_timer, for kept slots */
-    uint32_t owned;
-    uint32_t busy;
-    struct rp_work work; /* what a request takes in a slot */
-    int32_t retry_cents;
-    int64_t swept_until; /* next time for a part of the long sweep */
+    GHashTable *kept;    /* packets at the gate: caller -> GQueue of rp_held */
+    size_t kept_bytes;   /* of the packets in `kept` */
+    GQueue released;     /* of struct rp_held, next to send to the host */
+    GQueue short_timers; /* of struct rp_short_timer: state deadlines */
+    GQueue reserves;     /* of struct rp_short_timer: reserved slots */
+    uint32_t owned;      /* flows with RP_FLOW_OWNED */
+    uint32_t busy;       /* flows with RP_FLOW_BUSY */
+    struct rp_work work; /* time that a request occupies a slot */
+    int32_t retry_cents; /* retry budget, in hundredths of a retry */
+    int64_t swept_until; /* when the flow table is scanned next */
 };
 
-/* Starts a call: what the last one's actions pointed to is let go. */
+/* Starts a call: empties `actions` and frees the packet that the actions of
+ * the previous call pointed into. */
 void RpAgent_Begin(struct rp_agent *agent, struct rp_actions *actions);
 
-/* Takes the flow's held packet for the actions of this call. */
+/* Removes the flow's kept packet from the hold, or returns NULL. The agent
+ * owns the packet until the next call, so actions may point into it. */
 const struct rp_held *RpAgent_TakeHeld(struct rp_agent *agent,
                                        const struct rp_flow *flow);
 
-/* Adds an action and counts its reason; returns it for the details. */
+/* Adds an action, counts its reason and returns the action, whose other
+ * members the caller of this function sets. */
 struct rp_action *RpAgent_Act(struct rp_agent *agent,
                               struct rp_actions *actions,
                               enum rp_action_kind kind,
@@ -92,20 +98,21 @@
                   enum rp_action_kind kind, enum rp_counter reason,
                   const uint8_t *data, size_t len);
 
-/* Adds an action that sends a bare segment from `key.src` to `key.dst`. */
+/* Adds an action that sends a segment without payload, with the source and
+ * destination of `key`. */
 void RpAgent_SendSegment(struct rp_agent *agent, struct rp_actions *actions,
                          enum rp_action_kind kind, enum rp_counter reason,
                          struct rp_flow_key key, uint8_t flags, uint32_t seq,
                          uint32_t ack);
 
-/* Whether packets can be made that look like an end's own. */
+/* Whether the agent can make segments in the name of a flow's ends. */
 static inline bool
 RpAgent_CanForge(const struct rp_agent *agent)
 {
     return agent->config.codec->ops->make_segment != NULL;
 }
 
-/* Resets the caller of a flow that its host has lost. */
+/* Closes a flow that its host has lost and resets its caller. */
 void RpAgent_ResetLost(struct rp_agent *agent, int64_t now,
                        struct rp_flow *flow, struct rp_actions *actions);
 
@@ -114,122 +121,159 @@
                          enum rp_counter reason,
                          const struct rp_packet *packet);
 
-/* Puts a flow into a state, with the counts and the deadline that go with
- * it. */
+/* Sets the state of a flow, its deadline and the counts of owned and busy
+ * flows. */
 void RpAgent_Enter(struct rp_agent *agent, struct rp_flow *flow, uint8_t state,
                    int64_t now);
 
-/* Whether a state's deadline is one of the short ones. */
+/* Whether the deadline of a state is in `short_timers`. Other deadlines are
+ * found by scanning the flow table. */
 bool RpAgent_HasShortTimer(uint8_t state);
 
-/* Removes a flow's entry and what is held for it. */
+/* Removes a flow's entry, its kept packet and its share of the counts. */
 void RpAgent_Forget(struct rp_agent *agent, struct rp_flow *flow);
 
-/* Sets whether a request is outstanding. */
+/* Sets whether a flow has an outstanding request and so occupies a slot. */
 void RpAgent_SetBusy(struct rp_agent *agent, struct rp_flow *flow, bool busy);
 
-/* Keeps a slot for the first request of a flow that is being opened. */
+/* Reserves a slot for RP_RESERVE_US for the first request of a new flow. */
 void RpAgent_Reserve(struct rp_agent *agent, struct rp_flow *flow,
                      int64_t now);
 
-/* The load as admission sees it. */
+/* Fills in the load that an admission policy decides by. `address` is the
+ * address that the caller connects to. */
 void RpAgent_FillLoad(const struct rp_agent *agent, int64_t now,
                       struct rp_endpoint address, const struct rp_chain *chain,
                       struct rp_load *load);
 
-/* Updates what is known of both directions from one packet. The first tells
- * whether a request begins with it. */
+/* Update the sequence numbers and times of a flow from one packet.
+ * RpAgent_TrackCaller returns whether the packet begins a request. */
 bool RpAgent_TrackCaller(struct rp_agent *agent, struct rp_flow *flow,
                          const struct rp_packet *packet, int64_t now);
 void RpAgent_TrackHost(struct rp_agent *agent, struct rp_flow *flow,
                        const struct rp_packet *packet, int64_t now);
 
-/* rp_agent_classify.c: the event that a packet is for its flow; `forced`
- * says that a SYN was sent back here. */
+/* rp_agent_classify.c: the chart event of a packet for its flow. `forced`
+ * says that a SYN was sent back to this agent. */
 enum rp_flow_event RpAgent_ClassifyCaller(const struct rp_flow *flow,
                                           const struct rp_packet *packet,
                                           bool forced);
 enum rp_flow_event RpAgent_ClassifyHost(const struct rp_packet *packet);
 
-/* Whether a host's reset answers a segment of another host's flow that was
- * shown to it, and not the flow that it has itself. */
+/* Whether a host's reset answers a segment of another host's connection that
+ * this agent sent to it, and not the connection that the host has itself. */
 bool RpAgent_IsForeignReset(const struct rp_flow *flow,
                             const struct rp_packet *packet);
 
-/* rp_agent_chain.c: moves `chain` on to the next candidate; `opens` says
- * that it is for a new flow. False when nobody is left. */
+/* rp_agent_chain.c: advances `chain` to the next candidate and sets `*next`.
+ * `is_new_flow` says whether the packet opens a flow, as only ready upstreams
+ * take new flows. Returns false if no candidate is left. */
 bool RpAgent_NextHop(const struct rp_agent *agent, struct rp_chain *chain,
-                     struct rp_flow_key caller, bool opens,
+                     struct rp_flow_key caller, bool is_new_flow,
                      struct rp_endpoint *next);
 
-/* As RpAgent_NextHop, but to `wanted` if it can still be tried. */
+/* As RpAgent_NextHop, but chooses `preferred` if it has not had the packet
+ * yet and may take it. */
 bool RpAgent_NextHopPrefer(const struct rp_agent *agent,
                            struct rp_chain *chain, struct rp_flow_key caller,
-                           bool opens, struct rp_endpoint wanted,
+                           bool is_new_flow, struct rp_endpoint preferred,
                            struct rp_endpoint *next);
 
-/* rp_agent_open.c: a SYN that opens a flow; `flow` is an earlier entry of
- * that caller or NULL. */
+/* rp_agent_open.c: handles a SYN that opens a flow: admits the flow, forwards
+ * the SYN to the next candidate or refuses the flow. `flow` is an earlier
+ * entry with the same addresses and ports, or NULL. */
 void RpAgent_Decide(struct rp_agent *agent, int64_t now, struct rp_flow *flow,
                     const struct rp_packet *packet,
                     const struct rp_chain *chain, struct rp_actions *actions);
+
+/* Sends the host a new SYN of a flow whose earlier SYN it has not answered. */
 void RpAgent_Renew(struct rp_agent *agent, int64_t now, struct rp_flow *flow,
                    const struct rp_packet *packet,
                    const struct rp_chain *chain, struct rp_actions *actions);
 
-/* The host refused (`refusal`) or did not answer (NULL) a SYN. */
+/* Forwards the kept SYN of a flow to the next candidate after the host
+ * refused it (`refusal` is the host's packet) or did not answer it in time
+ * (`refusal` is NULL). Without a candidate or retry budget the caller gets the
+ * refusal, or the agent waits for the host's answer. */
 void RpAgent_Retry(struct rp_agent *agent, int64_t now, struct rp_flow *flow,
                    const struct rp_packet *refusal,
                    struct rp_actions *actions);
+
+/* Leaves a flow to another agent after the caller acknowledged another host's
+ * SYN-ACK: resets the own host's half-open connection and forwards the
+ * packet. */
 void RpAgent_Yield(struct rp_agent *agent, int64_t now, struct rp_flow *flow,
                    const struct rp_packet *packet,
                    const struct rp_chain *chain, struct rp_actions *actions);
+
+/* Answers a SYN-ACK that the host sent after the flow went to another agent
+ * with a reset. The caller does not see it. */
 void RpAgent_Quash(struct rp_agent *agent, struct rp_flow *flow,
                    const struct rp_packet *packet, struct rp_actions *actions);
 
-/* Passes a packet of another agent's flow on. */
+/* Forwards a packet of a flow that another agent may own to the next agent.
+ * If no agent is left, a SYN is decided here, and a segment goes to another
+ * service behind the same virtual address, is dropped or resets its caller.
+ * `flow` may be NULL. */
 void RpAgent_Pass(struct rp_agent *agent, int64_t now, struct rp_flow *flow,
                   const struct rp_packet *packet, const struct rp_chain *chain,
                   struct rp_actions *actions);
 
-/* rp_agent_learn.c: flows that this agent does not know. */
+/* rp_agent_learn.c: queries the host about a flow without an entry: sends it
+ * the packet and keeps a copy. */
 void RpAgent_Ask(struct rp_agent *agent, int64_t now,
                  const struct rp_packet *packet, const struct rp_chain *chain,
                  struct rp_actions *actions);
+
+/* Handles a host's packet of a flow without an entry. Any packet but a reset
+ * or a returned one proves that the host has the flow, so the agent
+ * owns it. */
 void RpAgent_AdoptFromHost(struct rp_agent *agent, int64_t now,
                            const struct rp_packet *packet,
                            struct rp_actions *actions);
+
+/* As RpAgent_Ask, for a flow that has an entry. */
 void RpAgent_AskAgain(struct rp_agent *agent, int64_t now,
                       struct rp_flow *flow, const struct rp_packet *packet,
                       const struct rp_chain *chain,
                       struct rp_actions *actions);
+
+/* Makes the agent the owner of a flow that its host proved to have. */
 void RpAgent_Adopt(struct rp_agent *agent, struct rp_flow *flow, uint8_t state,
                    int64_t now);
+
+/* Handles the host's answer that it does not have a flow: forwards the packet
+ * with which the host was queried. */
 void RpAgent_Release(struct rp_agent *agent, int64_t now, struct rp_flow *flow,
                      struct rp_actions *actions);
 
-/* rp_agent_gate.c: requests that wait for a slot. */
+/* rp_agent_gate.c: queues requests that wait for a slot of the host. */
 void RpAgent_GateCreate(struct rp_agent *agent);
 void RpAgent_GateFree(struct rp_agent *agent);
 
-/* Takes the slots from the service's document. */
+/* Sets the gate's slots from the agent's configuration and the service's share
+ * for long requests. */
 void RpAgent_GateConfigure(struct rp_agent *agent);
 
-/* Whether a packet for the host is kept at the gate. */
+/* Passes a packet for the host through the gate. Returns true if the packet
+ * must not be sent now: it is queued, or dropped because the queue is full. */
 bool RpAgent_GateHolds(struct rp_agent *agent, int64_t now,
                        struct rp_flow *flow, const struct rp_packet *packet);
 
-/* The flow's request is over, or the flow is. */
+/* Frees the gate slot of a flow whose request has ended, or removes the
+ * request from the queue. Packets that are queued then go to the host. */
 void RpAgent_GateLeave(struct rp_agent *agent, struct rp_flow *flow);
 
-/* The host has answered: learns whether that took long. */
+/* Records whether the answer that has just ended took long. */
 void RpAgent_GateLearn(struct rp_flow *flow, int64_t now);
 
-/* Sends at most one released packet; false when there is none. */
+/* Adds an action that sends at most one released packet; false if there is
+ * none. */
 bool RpAgent_GatePump(struct rp_agent *agent, int64_t now,
                       struct rp_actions *actions);
 
-/* rp_agent_silence.c: the time of an open flow's check has come. */
+/* rp_agent_silence.c: checks an open flow for a lost end when its deadline has
+ * passed; probes or resets the ends. */
 void RpAgent_CheckSilence(struct rp_agent *agent, int64_t now,
                           struct rp_flow *flow, struct rp_actions *actions);
 
--- a/lib/flow/rp_agent_learn.c
+++ b/lib/flow/rp_agent_learn.c
@@ -1,5 +1,5 @@
-/* Flows that this agent does not know: its host's own connection table
- * says whether they are the host's. */
+/* Flows without an entry, as after a restart of the agent: a packet sent to
+ * the host shows by the host's answer whether the host has the flow. */
 #include "rp_agent_internal.h"
 
 void
--- a/lib/flow/rp_agent_timer.c
+++ b/lib/flow/rp_agent_timer.c
@@ -1,13 +1,17 @@
-/* Flows whose deadline has passed. */
+/* Timers: expired state deadlines, expired slot reservations, lost flows, and
+ * packets that the gate releases. */
 #include "rp_agent_internal.h"
 
-#define SWEEP_PERIOD_US (100 * RP_US_PER_MS)
-#define SWEEP_SHARE 50 /* one call looks at 1/50 of the table */
-#define SWEEP_MIN_PLACES 4096
+/* The flow table is scanned in parts, so that a large table does not block the
+ * event loop. */
+#define SCAN_INTERVAL_US (100 * RP_US_PER_MS)
+#define SCANS_PER_TABLE 50    /* one scan covers 1/50 of the table */
+#define MIN_SCAN_BUCKETS 4096 /* but at least this many buckets */
 
+/* Performs the action of the flow chart for the timer event. */
 static void
-apply_timer(struct rp_agent *agent, int64_t now, struct rp_flow *flow,
-            struct rp_actions *actions)
+handle_expired_flow(struct rp_agent *agent, int64_t now, struct rp_flow *flow,
+                    struct rp_actions *actions)
 {
     struct rp_chart_step step = RpChart_Step(agent->chart, flow->state,
                                              RP_FLOW_EV_TIMER);
@@ -29,9 +33,10 @@
     }
 }
 
-/* Slots kept for requests that did not come are free again. */
+/* Frees the reserved slots of flows whose first request did not come in
+ * time. */
 static void
-end_reserves(struct rp_agent *agent, int64_t now)
+end_expired_reservations(struct rp_agent *agent, int64_t now)
 {
     for (;;) {
         const struct rp_short_timer *timer = g_queue_peek_head(
@@ -47,9 +52,10 @@
     }
 }
 
-/* The next flow whose short timer has run out, or NULL. */
+/* Returns the next flow whose short timer has expired, or NULL. Timers whose
+ * flow has changed its state since are discarded. */
 static struct rp_flow *
-due_short(struct rp_agent *agent, int64_t now)
+next_expired_short_timer(struct rp_agent *agent, int64_t now)
 {
     for (;;) {
         const struct rp_short_timer *timer = g_queue_peek_head(
@@ -58,37 +64,39 @@
             return NULL;
         }
         struct rp_flow *flow = RpFlowTable_Find(agent->flows, timer->caller);
-        bool due = flow && RpAgent_HasShortTimer(flow->state) &&
-                   flow->deadline == timer->deadline;
+        bool is_current = flow && RpAgent_HasShortTimer(flow->state) &&
+                          flow->deadline == timer->deadline;
         g_free(g_queue_pop_head(&agent->short_timers));
-        if (due) {
+        if (is_current) {
             return flow;
         }
     }
 }
 
-/* The next flow whose long deadline has passed. The table is walked in
- * small parts, so that a large one never stops the loop. */
+/* Scans the next part of the flow table and returns a flow whose deadline has
+ * passed, or NULL. */
 static struct rp_flow *
-due_long(struct rp_agent *agent, int64_t now)
+scan_for_expired_flow(struct rp_agent *agent, int64_t now)
 {
     struct rp_flow_key caller;
-    size_t share = RpFlowTable_Places(agent->flows) / SWEEP_SHARE;
+    size_t bucket_count = RpFlowTable_Places(agent->flows) / SCANS_PER_TABLE;
 
     if (now < agent->swept_until) {
         return NULL;
     }
-    if (RpFlowTable_Due(agent->flows, now, MAX(share, SWEEP_MIN_PLACES),
+    if (RpFlowTable_Due(agent->flows, now, MAX(bucket_count, MIN_SCAN_BUCKETS),
                         &caller, 1) == 0) {
-        agent->swept_until = now + SWEEP_PERIOD_US;
+        agent->swept_until = now + SCAN_INTERVAL_US;
         return NULL;
     }
     return RpFlowTable_Find(agent->flows, caller);
 }
 
-/* Tells the caller of one flow that the host has lost. */
+/* Resets the caller of one flow that the host has lost; false if no such flow
+ * is left. */
 static bool
-reset_lost(struct rp_agent *agent, int64_t now, struct rp_actions *actions)
+reset_next_lost_flow(struct rp_agent *agent, int64_t now,
+                     struct rp_actions *actions)
 {
     while (agent->lost->len > 0) {
         struct rp_flow *flow = RpFlowTable_Find(
@@ -137,20 +145,20 @@
     if (!agent->service) {
         return false;
     }
-    if (reset_lost(agent, now, actions)) {
+    if (reset_next_lost_flow(agent, now, actions)) {
         return true;
     }
-    end_reserves(agent, now);
+    end_expired_reservations(agent, now);
     if (RpAgent_GatePump(agent, now, actions)) {
         return true;
     }
-    struct rp_flow *flow = due_short(agent, now);
+    struct rp_flow *flow = next_expired_short_timer(agent, now);
     if (!flow) {
-        flow = due_long(agent, now);
+        flow = scan_for_expired_flow(agent, now);
     }
     if (!flow) {
         return false;
     }
-    apply_timer(agent, now, flow, actions);
+    handle_expired_flow(agent, now, flow, actions);
     return true;
 }
