--- a/lib/flow/rp_flow_chart.h
+++ b/lib/flow/rp_flow_chart.h
@@ -1,11 +1,12 @@
-/* The vocabulary of charts/flow.chart. */
+/* The states, events and actions of charts/flow.chart, which describes each
+ * of them. */
 #ifndef RP_FLOW_CHART_H
 #define RP_FLOW_CHART_H
 
 #include "rp_chart.h"
 
 enum rp_flow_state {
-    RP_FLOW_NONE, /* no entry */
+    RP_FLOW_NONE, /* the agent has no entry for the flow */
     RP_FLOW_OPENING,
     RP_FLOW_ANSWERED,
     RP_FLOW_ESTABLISHED,
@@ -60,10 +61,12 @@
     RP_FLOW_ACTION_COUNT
 };
 
-/* Reads the embedded flow.chart. */
+/* Parses the flow.chart that is built into the program. On failure `error`
+ * lists every line at fault; it may be NULL. */
 enum rp_code RpFlowChart_Load(struct rp_chart *chart, struct rp_error *error);
 
-/* The state's name in the chart. */
+/* The name of an enum rp_flow_state in the chart; "unknown" for other
+ * values. */
 const char *RpFlowState_Name(uint8_t state);
 
 #endif
--- a/lib/flow/rp_health.c
+++ b/lib/flow/rp_health.c
@@ -1,17 +1,25 @@
+/* Host health. The states, events and actions are those of
+ * charts/upstream.chart; the enums follow the order of the name lists. */
 #include "rp_health.h"
 
 #include <string.h>
 
 #include "rp_chart_files.h"
 
-enum event { EV_ANSWERED, EV_FAILED, EV_FAILING, EV_DUE };
-enum action { DO_NOTHING, DO_FORGET, DO_COUNT, DO_WAIT };
+enum event { EV_SUCCESS, EV_FAILURE, EV_FAILURE_LIMIT, EV_TRIAL_DUE };
+enum action {
+    DO_NOTHING,
+    DO_CLEAR_FAILURES,
+    DO_COUNT_FAILURE,
+    DO_SCHEDULE_TRIAL
+};
 
-static const char *const state_names[] = {"healthy", "ill", "trial", NULL};
-static const char *const event_names[] = {"answered", "failed", "failing",
-                                          "due", NULL};
-static const char *const action_names[] = {"nothing", "forget", "count",
-                                           "wait", NULL};
+static const char *const state_names[] = {"healthy", "unhealthy", "trial",
+                                          NULL};
+static const char *const event_names[] = {"success", "failure",
+                                          "failure_limit", "trial_due", NULL};
+static const char *const action_names[] = {
+    "nothing", "clear_failures", "count_failure", "schedule_trial", NULL};
 
 enum rp_code
 RpHealth_Init(struct rp_health *health, struct rp_error *error)
@@ -26,7 +34,7 @@
 }
 
 static void
-apply(struct rp_health *health, enum event event, int64_t now)
+apply_event(struct rp_health *health, enum event event, int64_t now)
 {
     struct rp_chart_step step = RpChart_Step(&health->chart, health->state,
                                              (uint8_t)event);
@@ -35,13 +43,13 @@
     switch ((enum action)step.action) {
     case DO_NOTHING:
         break;
-    case DO_FORGET:
+    case DO_CLEAR_FAILURES:
         health->failures = 0;
         break;
-    case DO_COUNT:
+    case DO_COUNT_FAILURE:
         health->failures++;
         break;
-    case DO_WAIT:
+    case DO_SCHEDULE_TRIAL:
         health->failures = 0;
         health->trial_deadline = now + RP_HEALTH_TRIAL_US;
         break;
@@ -58,20 +66,20 @@
         return false;
     }
     health->trial_deadline = now + RP_HEALTH_TRIAL_US;
-    apply(health, EV_DUE, now);
+    apply_event(health, EV_TRIAL_DUE, now);
     return true;
 }
 
 void
 RpHealth_Answered(struct rp_health *health, int64_t now)
 {
-    apply(health, EV_ANSWERED, now);
+    apply_event(health, EV_SUCCESS, now);
 }
 
 void
 RpHealth_Failed(struct rp_health *health, int64_t now)
 {
-    bool too_many = health->failures + 1 >= RP_HEALTH_FAILURES;
+    bool reaches_limit = health->failures + 1 >= RP_HEALTH_FAILURES;
 
-    apply(health, too_many ? EV_FAILING : EV_FAILED, now);
+    apply_event(health, reaches_limit ? EV_FAILURE_LIMIT : EV_FAILURE, now);
 }
--- a/lib/flow/rp_hold.c
+++ b/lib/flow/rp_hold.c
@@ -1,3 +1,4 @@
+/* A hash table of kept packets. See rp_hold.h. */
 #include "rp_hold.h"
 
 #include <glib.h>
--- a/lib/flow/rp_hold.h
+++ b/lib/flow/rp_hold.h
@@ -1,6 +1,7 @@
-/* Packets that an agent keeps for a moment: a SYN until its host answers,
- * or the packet with which a host was asked about a flow. One packet a
- * flow, bounded in number and size. */
+/* Packets that an agent keeps for a possible forward to the next agent: a SYN
+ * until the host answers it, or the packet with which the agent queried the
+ * host about an unknown flow. At most one packet for each flow, bounded in
+ * number and size. */
 #ifndef RP_HOLD_H
 #define RP_HOLD_H
 
@@ -12,9 +13,9 @@
 #include "rp_packet.h"
 
 #define RP_HOLD_MAX 16384       /* packets */
-#define RP_HOLD_PACKET_MAX 2048 /* bytes; larger ones are not kept */
+#define RP_HOLD_PACKET_MAX 2048 /* bytes; larger packets are not kept */
 
-/* A kept packet with the candidates that came with it. */
+/* A kept packet with the candidate chain that came with it. */
 struct rp_held {
     struct rp_chain chain;
     size_t len;
@@ -25,18 +26,20 @@
 
 struct rp_hold *RpHold_Create(void);
 
+/* Frees `hold` and its packets; `hold` may be NULL. */
 void RpHold_Free(struct rp_hold *hold);
 
-/* Keeps a copy, in place of an earlier one of that caller. False if there
- * is no room or the packet is too large. */
+/* Keeps a copy of the packet, which replaces an earlier packet of the same
+ * flow. Returns false if RP_HOLD_MAX packets are kept or the packet is larger
+ * than RP_HOLD_PACKET_MAX. */
 bool RpHold_Put(struct rp_hold *hold, struct rp_flow_key caller,
                 const struct rp_chain *chain, const uint8_t *data, size_t len);
 
-/* Takes the caller's packet out; the caller of this function frees it with
- * g_free. NULL if there is none. */
+/* Removes the flow's packet and returns it; the caller of this function frees
+ * it with g_free. NULL if there is none. */
 struct rp_held *RpHold_Take(struct rp_hold *hold, struct rp_flow_key caller);
 
-/* Drops the caller's packet, if any. */
+/* Removes and frees the flow's packet, if there is one. */
 void RpHold_Drop(struct rp_hold *hold, struct rp_flow_key caller);
 
 #endif
--- a/tests/golden/agent_session.c
+++ b/tests/golden/agent_session.c
@@ -1,30 +1,37 @@
-/* Plays a scripted session through one agent and prints what it does.
+/* Runs a scripted session against one agent and prints the actions that the
+ * agent returns.
  *
  * A script has one command a line; '#' starts a comment.
  *
  *   service ID INCARNATION ADDR:PORT FLOW-LIMIT RETRIES-PERCENT
- *           [LONG-SLOTS-PERCENT]
- *   member NAME SLOTS STATE       upstream NAME, whose agent is NAME
- *   agent NAME SLOTS [FROM UNTIL] starts the agent of that member; its host
- *                                 starts cold from and until these MS
- *   start-bare NAME SLOTS         the same without a table
- *   sibling ID ADDR:PORT NAME     both services are behind this address; the
- *                                 other has member NAME
- *   at MS                         sets the time
+ *           [LONG-SLOTS-PERCENT]     sets the service
+ *   member NAME SLOTS STATE          adds or changes a member; NAME is one
+ *                                    letter
+ *   agent NAME SLOTS [FROM UNTIL]    starts the agent of that member; its host
+ *                                    is in its cold start from FROM to UNTIL
+ *                                    (milliseconds)
+ *   agent-without-table NAME SLOTS   the same, but the agent gets no table
+ *   sibling ID ADDR:PORT NAME        adds a second service, with member NAME,
+ *                                    and a virtual address for both
+ *   at MS                            sets the time, in milliseconds
  *   caller FLAGS PORT SEQ ACK LEN CHAIN [tag ID INCARNATION]
  *                                       [best INDEX SHARE [forced]]
- *   host FLAGS PORT SEQ ACK LEN
- *   returned FLAGS PORT SEQ ACK LEN   the host gives a caller's packet back
+ *                                    a packet from the caller
+ *   host FLAGS PORT SEQ ACK LEN      a packet from the host
+ *   host-returns FLAGS PORT SEQ ACK LEN
+ *                                    the host returns a caller's packet
  *   host-state ready|unheard|draining|gone
- *   knows-all                     the agent has run since before its host
- *   host-restarts
- *   format platform               packets as the users' platform has them
- *   timers                        runs what is due
- *   drain | resume
- *   show PORT                     prints a flow's state and the load
+ *                                    sets the host's state; unheard is
+ *                                    RP_HOST_UNKNOWN
+ *   knows-all-flows                  the agent has run since before its host
+ *   host-restarts                    the host has lost its flows
+ *   format platform                  uses the platform's packet format
+ *   run-timers                       calls RpAgent_OnTimer until it is done
+ *   drain | resume                   sets whether the agent is draining
+ *   show PORT                        prints the flow's state and the load
  *
- * FLAGS are letters of S, A, F, R and P. PORT is the caller's, at 10.9.0.1.
- * CHAIN lists member names; a '|' stands after those that were visited. */
+ * FLAGS are letters of S, A, F, R and P. PORT is the caller's port, at
+ * 10.9.0.1. CHAIN lists member names; a '|' follows the visited ones. */
 #include <glib.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -43,7 +50,7 @@
 struct session {
     struct rp_msg table;
     struct rp_msg_service service;
-    struct rp_msg_service sibling; /* id 0: there is none */
+    struct rp_msg_service sibling; /* id 0: not set */
     struct rp_msg_vip vip;
     struct rp_table *routes;
     struct rp_chart chart;
@@ -55,30 +62,30 @@
     uint64_t revision;
 };
 
-/* Member "a" is at 10.0.0.97:1 and so on: the address tells the name. */
+/* The agent of member "a" is at 10.0.0.97:1, that of "b" at 10.0.0.98:1. */
 static struct rp_endpoint
-endpoint_of(const char *name)
+member_endpoint(const char *name)
 {
     return (struct rp_endpoint){.ip = 0x0a000000u + (uint8_t)name[0],
                                 .port = 1};
 }
 
 static char
-name_of(struct rp_endpoint endpoint)
+member_name(struct rp_endpoint endpoint)
 {
     return (char)(endpoint.ip & 0xff);
 }
 
 static uint32_t
-number(const char *word)
+parse_number(const char *word)
 {
     return (uint32_t)strtoul(word, NULL, 10);
 }
 
 static int64_t
-ms(const char *word)
+parse_ms(const char *word)
 {
-    return number(word) * RP_US_PER_MS;
+    return parse_number(word) * RP_US_PER_MS;
 }
 
 static uint8_t
@@ -113,13 +120,14 @@
 {
     printf(" chain=");
     for (uint8_t i = 0; i < chain->count; i++) {
-        printf("%s%c", i == chain->visited ? "|" : "", name_of(chain->hop[i]));
+        printf("%s%c", i == chain->visited ? "|" : "",
+               member_name(chain->hop[i]));
     }
     if (chain->visited == chain->count) {
         putchar('|');
     }
     if (chain->best_share != RP_CHAIN_NO_SHARE) {
-        printf(" best=%c/%u%s", name_of(chain->hop[chain->best]),
+        printf(" best=%c/%u%s", member_name(chain->hop[chain->best]),
                chain->best_share, chain->forced ? " forced" : "");
     }
 }
@@ -128,7 +136,7 @@
 print_action(const struct session *session, const struct rp_action *action)
 {
     static const char *const kinds[] = {"drop", "to_host", "to_caller",
-                                        "pass"};
+                                        "to_next_agent"};
     struct rp_packet packet;
     enum rp_counter reason;
 
@@ -142,7 +150,7 @@
                packet.payload_len);
     }
     if (action->kind == RP_ACTION_PASS) {
-        printf(" next=%c", name_of(action->next));
+        printf(" next=%c", member_name(action->next));
         if (action->tag.service_id != session->service.id) {
             printf(" service=%u", action->tag.service_id);
         }
@@ -190,23 +198,24 @@
     struct rp_endpoint address;
 
     RpEndpoint_Parse(RpStr_FromC(words[3]), &address);
-    session->service.id = number(words[1]);
-    session->service.incarnation = number(words[2]);
+    session->service.id = parse_number(words[1]);
+    session->service.incarnation = parse_number(words[2]);
     session->service.address = address.ip;
     session->service.port = address.port;
-    session->service.flows_per_upstream = number(words[4]);
-    session->service.retries_percent = number(words[5]);
+    session->service.flows_per_upstream = parse_number(words[4]);
+    session->service.retries_percent = parse_number(words[5]);
     session->service.silence_ms = 30000;
-    session->service.long_slots_percent = words[6][0] ? number(words[6]) : 100;
+    session->service.long_slots_percent = words[6][0] ? parse_number(words[6])
+                                                      : 100;
 }
 
 static void
 do_member(struct session *session, const char **words)
 {
     GArray *members = session->service.members;
-    struct rp_msg_member member = {.agent_ip = endpoint_of(words[1]).ip,
+    struct rp_msg_member member = {.agent_ip = member_endpoint(words[1]).ip,
                                    .agent_port = 1,
-                                   .slots = number(words[2]),
+                                   .slots = parse_number(words[2]),
                                    .state = RP_UPSTREAM_READY};
 
     RpName_Set(&member.upstream, RpStr_FromC(words[1]));
@@ -232,7 +241,7 @@
 static void
 do_sibling(struct session *session, const char **words)
 {
-    struct rp_msg_member member = {.agent_ip = endpoint_of(words[3]).ip,
+    struct rp_msg_member member = {.agent_ip = member_endpoint(words[3]).ip,
                                    .agent_port = 1,
                                    .slots = 2,
                                    .state = RP_UPSTREAM_READY};
@@ -242,7 +251,7 @@
 
     RpEndpoint_Parse(RpStr_FromC(words[2]), &address);
     RpName_Set(&member.upstream, RpStr_FromC(words[3]));
-    session->sibling.id = number(words[1]);
+    session->sibling.id = parse_number(words[1]);
     session->sibling.incarnation = 1;
     session->sibling.members = RpSchema_NewList(&rp_msg_member_schema);
     g_array_append_val(session->sibling.members, member);
@@ -260,10 +269,10 @@
 do_agent(struct session *session, const char **words, bool with_table)
 {
     const struct rp_agent_config config = {.codec = session->codec,
-                                           .self = endpoint_of(words[1]),
-                                           .slots = number(words[2]),
-                                           .ramp_from = ms(words[3]),
-                                           .ramp_until = ms(words[4]),
+                                           .self = member_endpoint(words[1]),
+                                           .slots = parse_number(words[2]),
+                                           .ramp_from = parse_ms(words[3]),
+                                           .ramp_until = parse_ms(words[4]),
                                            .seed = 1};
 
     RpAgent_Free(session->agent);
@@ -275,7 +284,8 @@
     }
 }
 
-/* A packet of the platform's format; see rp_platform_packet.c. */
+/* Writes the header of a packet in the platform's format (see
+ * rp_platform_packet.c) and returns its size. */
 static size_t
 write_platform(uint8_t *bytes, struct rp_flow_key key, const char **words)
 {
@@ -286,11 +296,11 @@
     RpBytes_Put16(bytes + 4, key.dst_port);
     RpBytes_Put32(bytes + 6, key.src_ip);
     RpBytes_Put16(bytes + 10, key.src_port);
-    RpBytes_Put32(bytes + 16, number(words[3]));
-    RpBytes_Put32(bytes + 20, number(words[4]));
+    RpBytes_Put32(bytes + 16, parse_number(words[3]));
+    RpBytes_Put32(bytes + 20, parse_number(words[4]));
     bytes[24] = (flags & RP_TCP_SYN ? 16 : 0) | (flags & RP_TCP_ACK ? 4 : 0) |
                 (flags & RP_TCP_FIN ? 2 : 0) | (flags & RP_TCP_RST ? 8 : 0);
-    RpBytes_Put16(bytes + 29, (uint16_t)number(words[5]));
+    RpBytes_Put16(bytes + 29, (uint16_t)parse_number(words[5]));
     return 31;
 }
 
@@ -301,10 +311,10 @@
     size_t len = write_platform(bytes, key, words);
     enum rp_counter reason;
 
-    memset(bytes + len, 'x', number(words[5]));
-    if (!rp_codec_platform.ops->parse(bytes, len + number(words[5]), packet,
-                                      &reason)) {
-        printf("  bad packet in the script\n");
+    memset(bytes + len, 'x', parse_number(words[5]));
+    if (!rp_codec_platform.ops->parse(bytes, len + parse_number(words[5]),
+                                      packet, &reason)) {
+        printf("  the packet of this line cannot be parsed\n");
     }
 }
 
@@ -317,15 +327,16 @@
         make_platform_packet(bytes, packet, key, words);
         return;
     }
-    size_t payload = number(words[5]);
-    size_t len = RpPacket_MakeSegment(
-        key, parse_flags(words[1]), number(words[3]), number(words[4]), bytes);
+    size_t payload = parse_number(words[5]);
+    size_t len = RpPacket_MakeSegment(key, parse_flags(words[1]),
+                                      parse_number(words[3]),
+                                      parse_number(words[4]), bytes);
     enum rp_counter reason;
 
     memset(bytes + len, 'x', payload);
     RpBytes_Put16(bytes + 2, (uint16_t)(len + payload));
     if (!RpPacket_Parse(bytes, len + payload, packet, &reason)) {
-        printf("  bad packet in the script\n");
+        printf("  the packet of this line cannot be parsed\n");
     }
 }
 
@@ -340,7 +351,7 @@
                                        .port = session->vip.port};
     }
     return (struct rp_flow_key){.src_ip = CALLER_IP,
-                                .src_port = (uint16_t)number(port),
+                                .src_port = (uint16_t)parse_number(port),
                                 .dst_ip = address.ip,
                                 .dst_port = address.port};
 }
@@ -363,17 +374,17 @@
             geneve.chain.visited = geneve.chain.count;
         }
         else {
-            RpChain_Append(&geneve.chain, endpoint_of(c));
+            RpChain_Append(&geneve.chain, member_endpoint(c));
         }
     }
     if (!strcmp(words[7], "best")) {
-        geneve.chain.best = (uint8_t)number(words[8]);
-        geneve.chain.best_share = (uint8_t)number(words[9]);
+        geneve.chain.best = (uint8_t)parse_number(words[8]);
+        geneve.chain.best_share = (uint8_t)parse_number(words[9]);
         geneve.chain.forced = !strcmp(words[10], "forced");
     }
     if (!strcmp(words[7], "tag")) {
-        geneve.tag.service_id = number(words[8]);
-        geneve.tag.incarnation = number(words[9]);
+        geneve.tag.service_id = parse_number(words[8]);
+        geneve.tag.incarnation = parse_number(words[9]);
     }
     RpAgent_FromCaller(session->agent, session->now, &packet, &geneve,
                        &session->actions);
@@ -393,7 +404,7 @@
 }
 
 static void
-do_returned(struct session *session, const char **words)
+do_host_returns(struct session *session, const char **words)
 {
     uint8_t bytes[PACKET_MAX];
     struct rp_packet packet;
@@ -420,7 +431,7 @@
 }
 
 static void
-do_timers(struct session *session)
+do_run_timers(struct session *session)
 {
     while (RpAgent_OnTimer(session->agent, session->now, &session->actions)) {
         printf("  timer\n");
@@ -432,7 +443,7 @@
 do_show(const struct session *session, const char **words)
 {
     struct rp_flow_key flow = {.src_ip = CALLER_IP,
-                               .src_port = (uint16_t)number(words[1]),
+                               .src_port = (uint16_t)parse_number(words[1]),
                                .dst_ip = session->service.address,
                                .dst_port = session->service.port};
     struct rp_agent_load load = RpAgent_Load(session->agent, session->now);
@@ -449,7 +460,7 @@
     size_t count = 0;
     char *rest = NULL;
 
-    /* Words that a command leaves out read as empty. */
+    /* Optional arguments that are not given are empty strings. */
     for (size_t i = 0; i < MAX_WORDS; i++) {
         words[i] = "";
     }
@@ -469,11 +480,11 @@
     else if (!strcmp(words[0], "agent")) {
         do_agent(session, words, true);
     }
-    else if (!strcmp(words[0], "start-bare")) {
+    else if (!strcmp(words[0], "agent-without-table")) {
         do_agent(session, words, false);
     }
     else if (!strcmp(words[0], "at")) {
-        session->now = number(words[1]) * RP_US_PER_MS;
+        session->now = parse_number(words[1]) * RP_US_PER_MS;
     }
     else if (!strcmp(words[0], "format")) {
         session->codec = &rp_codec_platform;
@@ -481,13 +492,13 @@
     else if (!strcmp(words[0], "sibling")) {
         do_sibling(session, words);
     }
-    else if (!strcmp(words[0], "returned")) {
-        do_returned(session, words);
+    else if (!strcmp(words[0], "host-returns")) {
+        do_host_returns(session, words);
     }
     else if (!strcmp(words[0], "host-state")) {
         do_host_state(session, words[1]);
     }
-    else if (!strcmp(words[0], "knows-all")) {
+    else if (!strcmp(words[0], "knows-all-flows")) {
         RpAgent_SetKnowsAll(session->agent);
     }
     else if (!strcmp(words[0], "host-restarts")) {
@@ -499,8 +510,8 @@
     else if (!strcmp(words[0], "host")) {
         do_host(session, words);
     }
-    else if (!strcmp(words[0], "timers")) {
-        do_timers(session);
+    else if (!strcmp(words[0], "run-timers")) {
+        do_run_timers(session);
     }
     else if (!strcmp(words[0], "drain")) {
         RpAgent_SetDraining(session->agent, true);
@@ -512,7 +523,7 @@
         do_show(session, words);
     }
     else {
-        printf("  unknown command\n");
+        printf("  unknown command: %s\n", words[0]);
     }
 }
 
