--- a/tests/unit/test_ownership.c
+++ b/tests/unit/test_ownership.c
@@ -1,15 +1,15 @@
-/* Property runs of flow ownership: callers, balancers with tables of
- * different ages, agents and hosts exchange packets in a random order that
- * loses, repeats and delays them, while upstreams join, drain and come back
- * and agents restart.
+/* Randomised simulation of flow ownership. Callers, balancers with tables of
+ * different ages, agents and hosts exchange packets that are lost, duplicated,
+ * delayed and reordered, while upstreams join, drain and resume and agents
+ * restart.
  *
- * What must hold on every seed:
- * - a flow that was established breaks only with its host;
+ * Checked for every seed:
+ * - an established flow breaks only if its host fails;
  * - payload of a flow reaches one host only;
  * - no packet of one service reaches a host of another.
  *
- * RP_SEED=N runs that seed alone; RP_SEEDS=N runs 1 to N; RP_TRACE=1 prints
- * every packet. */
+ * RP_SEED=N runs that seed alone; RP_SEEDS=N runs seeds 1 to N; RP_TRACE=1
+ * prints every packet. */
 #include <glib.h>
 #include <stdlib.h>
 #include <string.h>
@@ -28,22 +28,22 @@
 #define STEPS 2500
 #define DEFAULT_SEEDS 300
 
-/* Seeds beyond those that found a fault once. */
+/* Seeds above DEFAULT_SEEDS that have found a fault. */
 static const uint32_t extra_seeds[] = {502, 904, 3034};
 #define MAX_IN_FLIGHT 400
 #define ROUNDS_TO_SETTLE 400
-/* By when, after the last change, every table is up to date. */
-#define IN_FORCE_US (7 * RP_US_PER_SECOND)
+/* Time after the last change by which every table is up to date. */
+#define TABLE_UPDATE_US (7 * RP_US_PER_SECOND)
 
-/* One end of a TCP connection, as far as ownership can see it. */
+/* The host's end of a TCP connection, reduced to what ownership depends on. */
 enum host_state { HOST_NONE, HOST_SYN_RECEIVED, HOST_ESTABLISHED };
 
 struct host_flow {
     enum host_state state;
     uint32_t isn;
-    uint32_t next;    /* next byte it will send */
-    uint32_t wanted;  /* next byte it expects */
-    unsigned payload; /* bytes it took */
+    uint32_t next;     /* next byte it will send */
+    uint32_t expected; /* next byte it expects */
+    unsigned payload;  /* bytes received */
 };
 
 struct upstream {
@@ -60,14 +60,14 @@
     unsigned service;
     uint32_t isn;
     uint32_t next;
-    uint32_t acked; /* what the host has acknowledged */
-    uint32_t wanted;
+    uint32_t acked; /* end of what the host has acknowledged */
+    uint32_t expected;
     int owner; /* upstream that answered, once established */
     bool refused;
 };
 
-/* A packet on its way. */
-struct flight {
+/* A packet in flight and its next receiver. */
+struct sim_packet {
     enum { TO_BALANCER, TO_AGENT, TO_HOST, TO_AGENT_FROM_HOST, TO_CALLER } at;
     unsigned service;
     unsigned upstream;
@@ -76,8 +76,8 @@
     size_t len;
 };
 
-struct world {
-    GRand *dice;
+struct simulation {
+    GRand *random;
     int64_t now;
     struct rp_chart chart;
     struct rp_counters counters;
@@ -85,52 +85,53 @@
     struct rp_table *tables[BALANCERS];
     struct rp_table *agent_tables[SERVICES][UPSTREAMS];
     struct caller_flow flows[FLOWS];
-    GPtrArray *flights;
+    GPtrArray *in_flight;
     uint64_t revision;
     uint32_t seed;
-    bool faulty; /* packets are lost, repeated and delayed */
+    bool faulty; /* packets are lost, duplicated and delayed */
 };
 
-#define CHECK(world, condition, text)                                         \
+#define CHECK(sim, condition, text)                                           \
     do {                                                                      \
         if (!(condition)) {                                                   \
             print_error("%s\nrepeat with: RP_SEED=%u "                        \
                         "build/tests/test_ownership\n",                       \
-                        text, (world)->seed);                                 \
+                        text, (sim)->seed);                                   \
             fail();                                                           \
         }                                                                     \
     } while (0)
 
+/* Returns a random number from 0 to limit - 1. */
 static int
-roll(struct world *world, int sides)
+random_below(struct simulation *sim, int limit)
 {
-    return g_rand_int_range(world->dice, 0, sides);
+    return g_rand_int_range(sim->random, 0, limit);
 }
 
 static struct rp_endpoint
-agent_at(unsigned service, unsigned upstream)
+agent_endpoint(unsigned service, unsigned upstream)
 {
     return (struct rp_endpoint){.ip = 0x0a000000u + service * 256 + upstream,
                                 .port = 1};
 }
 
 static struct rp_flow_key
-flow_key(const struct world *world, unsigned number)
+flow_key(const struct simulation *sim, unsigned number)
 {
     return (struct rp_flow_key){.src_ip = 0x0a090001,
                                 .src_port = (uint16_t)(4000 + number),
                                 .dst_ip = 0x0a500001 +
-                                          world->flows[number].service,
+                                          sim->flows[number].service,
                                 .dst_port = 7000};
 }
 
-/* Brings one table up to date with the upstreams as they are now. */
+/* Updates one table to the present state of the upstreams. */
 static void
-refresh(struct world *world, struct rp_table *table)
+update_table(struct simulation *sim, struct rp_table *table)
 {
     struct rp_msg msg = {.type = RP_MSG_TABLE};
 
-    msg.table.revision = ++world->revision;
+    msg.table.revision = ++sim->revision;
     msg.table.complete = 1;
     msg.table.services = RpSchema_NewList(&rp_msg_service_schema);
     for (unsigned i = 0; i < SERVICES; i++) {
@@ -145,8 +146,8 @@
             .long_slots_percent = 50,
             .members = RpSchema_NewList(&rp_msg_member_schema)};
         for (unsigned j = 0; j < UPSTREAMS; j++) {
-            const struct upstream *upstream = &world->upstreams[i][j];
-            struct rp_msg_member member = {.agent_ip = agent_at(i, j).ip,
+            const struct upstream *upstream = &sim->upstreams[i][j];
+            struct rp_msg_member member = {.agent_ip = agent_endpoint(i, j).ip,
                                            .agent_port = 1,
                                            .slots = 2,
                                            .state = upstream->draining
@@ -166,173 +167,183 @@
 }
 
 static void
-refresh_agent(struct world *world, unsigned service, unsigned number)
+update_agent_table(struct simulation *sim, unsigned service, unsigned number)
 {
-    struct rp_table *table = world->agent_tables[service][number];
+    struct rp_table *table = sim->agent_tables[service][number];
     struct rp_endpoint address = {.ip = 0x0a500001 + service, .port = 7000};
 
-    refresh(world, table);
-    RpAgent_SetTable(world->upstreams[service][number].agent, table,
+    update_table(sim, table);
+    RpAgent_SetTable(sim->upstreams[service][number].agent, table,
                      RpTable_Find(table, address));
 }
 
 static void
-start_agent(struct world *world, unsigned service, unsigned number)
+start_agent(struct simulation *sim, unsigned service, unsigned number)
 {
-    struct upstream *upstream = &world->upstreams[service][number];
-    const struct rp_agent_config config = {.self = agent_at(service, number),
-                                           .started = world->now,
-                                           .slots = 2,
-                                           .seed = 1};
+    struct upstream *upstream = &sim->upstreams[service][number];
+    const struct rp_agent_config config = {
+        .self = agent_endpoint(service, number),
+        .started = sim->now,
+        .slots = 2,
+        .seed = 1};
 
     RpAgent_Free(upstream->agent);
     upstream->agent = RpAgent_Create(
-        &config, &world->chart, RpAdmission_CreateLeast(), &world->counters);
+        &config, &sim->chart, RpAdmission_CreateLeast(), &sim->counters);
     RpAgent_SetDraining(upstream->agent, upstream->draining);
-    refresh_agent(world, service, number);
+    update_agent_table(sim, service, number);
 }
 
 static void
-send_flight(struct world *world, const struct flight *flight)
+send_sim_packet(struct simulation *sim, const struct sim_packet *sim_packet)
 {
     unsigned copies = 1;
 
-    if (world->faulty && roll(world, 20) == 0) {
-        copies = (unsigned)roll(world, 3); /* lost, kept or repeated */
+    if (sim->faulty && random_below(sim, 20) == 0) {
+        /* The packet is lost, unchanged or duplicated. */
+        copies = (unsigned)random_below(sim, 3);
     }
-    while (copies-- > 0 && world->flights->len < MAX_IN_FLIGHT) {
-        g_ptr_array_add(world->flights, g_memdup2(flight, sizeof *flight));
+    while (copies-- > 0 && sim->in_flight->len < MAX_IN_FLIGHT) {
+        g_ptr_array_add(sim->in_flight,
+                        g_memdup2(sim_packet, sizeof *sim_packet));
     }
 }
 
 static void
-send_segment(struct world *world, struct flight *flight,
+send_segment(struct simulation *sim, struct sim_packet *sim_packet,
              struct rp_flow_key key, uint8_t flags, uint32_t seq, uint32_t ack,
              unsigned payload)
 {
     struct test_packet test;
 
     make_test_packet(&test, key, flags, seq, ack, payload);
-    flight->len = test.packet.len;
-    memcpy(flight->bytes, test.bytes, test.packet.len);
-    send_flight(world, flight);
+    sim_packet->len = test.packet.len;
+    memcpy(sim_packet->bytes, test.bytes, test.packet.len);
+    send_sim_packet(sim, sim_packet);
 }
 
 static void
-caller_sends(struct world *world, unsigned number, uint8_t flags,
-             unsigned payload)
+send_from_caller(struct simulation *sim, unsigned number, uint8_t flags,
+                 unsigned payload)
 {
-    struct caller_flow *flow = &world->flows[number];
-    struct flight flight = {.at = TO_BALANCER, .service = flow->service};
+    struct caller_flow *flow = &sim->flows[number];
+    struct sim_packet sim_packet = {.at = TO_BALANCER,
+                                    .service = flow->service};
     uint32_t seq = flags & RP_TCP_SYN ? flow->isn : flow->acked;
 
-    send_segment(world, &flight, flow_key(world, number), flags, seq,
-                 flow->wanted, payload);
+    send_segment(sim, &sim_packet, flow_key(sim, number), flags, seq,
+                 flow->expected, payload);
 }
 
-/* What callers do of themselves: open, send, repeat what is not answered. */
+/* Lets a caller open its flow, send data, or retransmit what the host has not
+ * acknowledged. */
 static void
-caller_acts(struct world *world, unsigned number)
+step_caller(struct simulation *sim, unsigned number)
 {
-    struct caller_flow *flow = &world->flows[number];
+    struct caller_flow *flow = &sim->flows[number];
 
     if (flow->state == CALLER_IDLE && !flow->refused) {
         flow->state = CALLER_SYN_SENT;
-        flow->isn = (uint32_t)roll(world, 1 << 30);
+        flow->isn = (uint32_t)random_below(sim, 1 << 30);
         flow->next = flow->isn + 1;
         flow->acked = flow->isn + 1;
         flow->owner = -1;
     }
     if (flow->state == CALLER_SYN_SENT) {
-        /* Some put payload on the SYN. */
-        caller_sends(world, number, RP_TCP_SYN, roll(world, 4) ? 0 : 5);
+        /* A quarter of the SYNs carry payload. */
+        send_from_caller(sim, number, RP_TCP_SYN,
+                         random_below(sim, 4) ? 0 : 5);
         return;
     }
     if (flow->state == CALLER_ESTABLISHED) {
         if (flow->next == flow->acked) {
             flow->next += 8;
         }
-        caller_sends(world, number, RP_TCP_ACK | RP_TCP_PSH, 8);
+        send_from_caller(sim, number, RP_TCP_ACK | RP_TCP_PSH, 8);
     }
 }
 
 static void
-host_sends(struct world *world, unsigned service, unsigned upstream,
-           unsigned number, uint8_t flags, uint32_t seq, uint32_t ack)
+send_from_host(struct simulation *sim, unsigned service, unsigned upstream,
+               unsigned number, uint8_t flags, uint32_t seq, uint32_t ack)
 {
-    struct flight flight = {
+    struct sim_packet sim_packet = {
         .at = TO_AGENT_FROM_HOST, .service = service, .upstream = upstream};
 
-    send_segment(world, &flight, RpFlowKey_Reverse(flow_key(world, number)),
+    send_segment(sim, &sim_packet, RpFlowKey_Reverse(flow_key(sim, number)),
                  flags, seq, ack, 0);
 }
 
-/* A host takes a segment, as TCP would. */
+/* Handles a segment at a host as TCP does. */
 static void
-at_host(struct world *world, const struct flight *flight)
+host_receives(struct simulation *sim, const struct sim_packet *sim_packet)
 {
     struct upstream *upstream =
-        &world->upstreams[flight->service][flight->upstream];
+        &sim->upstreams[sim_packet->service][sim_packet->upstream];
     struct rp_packet packet;
     enum rp_counter reason;
 
-    assert_true(RpPacket_Parse(flight->bytes, flight->len, &packet, &reason));
+    assert_true(
+        RpPacket_Parse(sim_packet->bytes, sim_packet->len, &packet, &reason));
     unsigned number = packet.key.src_port - 4000u;
     struct host_flow *flow = &upstream->flows[number];
-    CHECK(world, packet.key.dst_ip == 0x0a500001 + flight->service,
-          "a packet reached another service");
+    CHECK(sim, packet.key.dst_ip == 0x0a500001 + sim_packet->service,
+          "a packet reached a host of another service");
     if (!upstream->alive) {
         return;
     }
     if (packet.flags & RP_TCP_RST) {
-        if (flow->state != HOST_NONE && packet.seq == flow->wanted) {
+        if (flow->state != HOST_NONE && packet.seq == flow->expected) {
             flow->state = HOST_NONE;
         }
         return;
     }
     if (packet.flags & RP_TCP_SYN) {
-        CHECK(world, packet.payload_len == 0, "a SYN brought payload");
+        CHECK(sim, packet.payload_len == 0,
+              "a SYN delivered payload to a host");
         if (flow->state == HOST_NONE) {
             flow->state = HOST_SYN_RECEIVED;
-            flow->isn = (uint32_t)roll(world, 1 << 30);
+            flow->isn = (uint32_t)random_below(sim, 1 << 30);
             flow->next = flow->isn + 1;
-            flow->wanted = packet.seq + 1;
+            flow->expected = packet.seq + 1;
             flow->payload = 0;
         }
         if (flow->state == HOST_SYN_RECEIVED) {
-            host_sends(world, flight->service, flight->upstream, number,
-                       RP_TCP_SYN | RP_TCP_ACK, flow->isn, flow->wanted);
+            send_from_host(sim, sim_packet->service, sim_packet->upstream,
+                           number, RP_TCP_SYN | RP_TCP_ACK, flow->isn,
+                           flow->expected);
         }
         else {
-            host_sends(world, flight->service, flight->upstream, number,
-                       RP_TCP_ACK, flow->next, flow->wanted);
+            send_from_host(sim, sim_packet->service, sim_packet->upstream,
+                           number, RP_TCP_ACK, flow->next, flow->expected);
         }
         return;
     }
     bool acceptable = flow->state != HOST_NONE && packet.ack == flow->next;
     if (flow->state == HOST_NONE ||
         (flow->state == HOST_SYN_RECEIVED && !acceptable)) {
-        host_sends(world, flight->service, flight->upstream, number,
-                   RP_TCP_RST, packet.ack, 0);
+        send_from_host(sim, sim_packet->service, sim_packet->upstream, number,
+                       RP_TCP_RST, packet.ack, 0);
         return;
     }
     flow->state = HOST_ESTABLISHED;
-    if (packet.seq == flow->wanted) {
-        flow->wanted += packet.payload_len;
+    if (packet.seq == flow->expected) {
+        flow->expected += packet.payload_len;
         flow->payload += packet.payload_len;
     }
-    host_sends(world, flight->service, flight->upstream, number, RP_TCP_ACK,
-               flow->next, flow->wanted);
+    send_from_host(sim, sim_packet->service, sim_packet->upstream, number,
+                   RP_TCP_ACK, flow->next, flow->expected);
 }
 
-/* The upstream whose host has this initial sequence number. */
+/* Returns the upstream whose host chose this initial sequence number, or
+ * -1. */
 static int
-find_owner(const struct world *world, unsigned service, unsigned number,
+find_owner(const struct simulation *sim, unsigned service, unsigned number,
            uint32_t isn)
 {
     for (unsigned i = 0; i < UPSTREAMS; i++) {
         const struct host_flow *flow =
-            &world->upstreams[service][i].flows[number];
+            &sim->upstreams[service][i].flows[number];
         if (flow->state != HOST_NONE && flow->isn == isn) {
             return (int)i;
         }
@@ -341,21 +352,22 @@
 }
 
 static void
-at_caller(struct world *world, const struct flight *flight)
+caller_receives(struct simulation *sim, const struct sim_packet *sim_packet)
 {
     struct rp_packet packet;
     enum rp_counter reason;
 
-    assert_true(RpPacket_Parse(flight->bytes, flight->len, &packet, &reason));
+    assert_true(
+        RpPacket_Parse(sim_packet->bytes, sim_packet->len, &packet, &reason));
     unsigned number = packet.key.dst_port - 4000u;
-    struct caller_flow *flow = &world->flows[number];
+    struct caller_flow *flow = &sim->flows[number];
     if (packet.flags & RP_TCP_RST) {
         bool valid = flow->state == CALLER_SYN_SENT
                          ? packet.ack == flow->isn + 1
-                         : packet.seq == flow->wanted;
-        CHECK(world,
+                         : packet.seq == flow->expected;
+        CHECK(sim,
               !valid || flow->state != CALLER_ESTABLISHED ||
-                  !world->upstreams[flow->service][flow->owner].alive,
+                  !sim->upstreams[flow->service][flow->owner].alive,
               "an established flow was reset");
         if (valid && flow->state == CALLER_SYN_SENT) {
             flow->state = CALLER_IDLE;
@@ -366,31 +378,33 @@
     if ((packet.flags & RP_TCP_SYN) && flow->state == CALLER_SYN_SENT &&
         packet.ack == flow->isn + 1) {
         flow->state = CALLER_ESTABLISHED;
-        flow->wanted = packet.seq + 1;
-        flow->owner = find_owner(world, flow->service, number, packet.seq);
-        caller_sends(world, number, RP_TCP_ACK, 0);
+        flow->expected = packet.seq + 1;
+        flow->owner = find_owner(sim, flow->service, number, packet.seq);
+        send_from_caller(sim, number, RP_TCP_ACK, 0);
         return;
     }
-    if (flow->state == CALLER_ESTABLISHED && packet.seq == flow->wanted &&
+    if (flow->state == CALLER_ESTABLISHED && packet.seq == flow->expected &&
         packet.ack - flow->acked <= flow->next - flow->acked) {
         flow->acked = packet.ack;
     }
 }
 
 static void
-at_balancer(struct world *world, const struct flight *flight)
+balancer_receives(struct simulation *sim, const struct sim_packet *sim_packet)
 {
     struct rp_packet packet;
     struct rp_route route;
     enum rp_counter reason;
-    struct flight next = *flight;
+    struct sim_packet next = *sim_packet;
 
-    assert_true(RpPacket_Parse(flight->bytes, flight->len, &packet, &reason));
-    RpBalancer_Route(world->tables[roll(world, BALANCERS)], &packet, &route);
+    assert_true(
+        RpPacket_Parse(sim_packet->bytes, sim_packet->len, &packet, &reason));
+    RpBalancer_Route(sim->tables[random_below(sim, BALANCERS)], &packet,
+                     &route);
     if (route.kind == RP_ROUTE_SEND) {
-        if (roll(world, 100) == 0) {
-            /* Something on the way delivers it to another service. */
-            next.service = (flight->service + 1) % SERVICES;
+        if (random_below(sim, 100) == 0) {
+            /* Misdelivery: the packet arrives at another service. */
+            next.service = (sim_packet->service + 1) % SERVICES;
         }
         next.at = TO_AGENT;
         next.upstream = route.chain.hop[0].ip & 0xff;
@@ -399,47 +413,49 @@
                                          .tag = route.tag,
                                          .chain = route.chain};
         next.geneve.chain.visited = 1;
-        send_flight(world, &next);
+        send_sim_packet(sim, &next);
     }
 }
 
 static void
-carry_out(struct world *world, unsigned service, unsigned upstream,
-          const struct rp_actions *actions)
+perform_actions(struct simulation *sim, unsigned service, unsigned upstream,
+                const struct rp_actions *actions)
 {
     for (size_t i = 0; i < actions->count; i++) {
         const struct rp_action *action = &actions->item[i];
-        struct flight flight = {.service = service, .upstream = upstream};
+        struct sim_packet sim_packet = {.service = service,
+                                        .upstream = upstream};
         if (action->kind == RP_ACTION_DROP) {
             continue;
         }
-        flight.len = action->len;
-        memcpy(flight.bytes, action->data, action->len);
+        sim_packet.len = action->len;
+        memcpy(sim_packet.bytes, action->data, action->len);
         if (action->kind == RP_ACTION_TO_HOST) {
-            /* Agent and host are on one machine. */
-            flight.at = TO_HOST;
+            /* The host is on the agent's machine: `upstream` stays. */
+            sim_packet.at = TO_HOST;
         }
         else if (action->kind == RP_ACTION_TO_CALLER) {
-            flight.at = TO_CALLER;
+            sim_packet.at = TO_CALLER;
         }
         else {
-            flight.at = TO_AGENT;
-            flight.upstream = action->next.ip & 0xff;
-            flight.geneve = (struct rp_geneve){
+            sim_packet.at = TO_AGENT;
+            sim_packet.upstream = action->next.ip & 0xff;
+            sim_packet.geneve = (struct rp_geneve){
                 .has_tag = true,
                 .has_chain = true,
                 .tag = {.service_id = service + 1, .incarnation = 1},
                 .chain = action->chain};
         }
-        send_flight(world, &flight);
+        send_sim_packet(sim, &sim_packet);
     }
 }
 
 static void
-at_agent(struct world *world, const struct flight *flight, bool from_host)
+agent_receives(struct simulation *sim, const struct sim_packet *sim_packet,
+               bool from_host)
 {
     struct upstream *upstream =
-        &world->upstreams[flight->service][flight->upstream];
+        &sim->upstreams[sim_packet->service][sim_packet->upstream];
     struct rp_actions actions = {0};
     struct rp_packet packet;
     enum rp_counter reason;
@@ -447,19 +463,21 @@
     if (!upstream->alive) {
         return;
     }
-    assert_true(RpPacket_Parse(flight->bytes, flight->len, &packet, &reason));
+    assert_true(
+        RpPacket_Parse(sim_packet->bytes, sim_packet->len, &packet, &reason));
     if (from_host) {
-        RpAgent_FromHost(upstream->agent, world->now, &packet, &actions);
+        RpAgent_FromHost(upstream->agent, sim->now, &packet, &actions);
     }
     else {
-        RpAgent_FromCaller(upstream->agent, world->now, &packet,
-                           &flight->geneve, &actions);
+        RpAgent_FromCaller(upstream->agent, sim->now, &packet,
+                           &sim_packet->geneve, &actions);
     }
-    carry_out(world, flight->service, flight->upstream, &actions);
+    perform_actions(sim, sim_packet->service, sim_packet->upstream, &actions);
 }
 
 static void
-trace(const struct world *world, const struct flight *flight)
+print_sim_packet(const struct simulation *sim,
+                 const struct sim_packet *sim_packet)
 {
     static const char *const places[] = {"balancer", "agent", "host",
                                          "agent from host", "caller"};
@@ -467,80 +485,83 @@
     enum rp_counter reason;
 
     if (!g_getenv("RP_TRACE") ||
-        !RpPacket_Parse(flight->bytes, flight->len, &packet, &reason)) {
+        !RpPacket_Parse(sim_packet->bytes, sim_packet->len, &packet,
+                        &reason)) {
         return;
     }
     bool to_caller = packet.key.src_port == 7000;
     print_message("%" G_GINT64_FORMAT " flow %u at %s %u-%u flags=%02x "
                   "seq=%u ack=%u len=%u visited=%u\n",
-                  world->now,
+                  sim->now,
                   (to_caller ? packet.key.dst_port : packet.key.src_port) -
                       4000u,
-                  places[flight->at], flight->service, flight->upstream,
-                  packet.flags, packet.seq, packet.ack, packet.payload_len,
-                  flight->geneve.chain.visited);
+                  places[sim_packet->at], sim_packet->service,
+                  sim_packet->upstream, packet.flags, packet.seq, packet.ack,
+                  packet.payload_len, sim_packet->geneve.chain.visited);
 }
 
-/* Delivers one packet: any of them while faults are on, else the oldest. */
+/* Delivers one packet: one of the oldest eight while faults are injected, else
+ * the oldest. */
 static void
-deliver(struct world *world)
+deliver(struct simulation *sim)
 {
-    if (world->flights->len == 0) {
+    if (sim->in_flight->len == 0) {
         return;
     }
-    guint index = world->faulty
-                      ? (guint)roll(world, (int)MIN(world->flights->len, 8))
-                      : 0;
-    struct flight *flight = g_ptr_array_steal_index(world->flights, index);
-    trace(world, flight);
-    switch (flight->at) {
+    guint index = sim->faulty ? (guint)random_below(
+                                    sim, (int)MIN(sim->in_flight->len, 8))
+                              : 0;
+    struct sim_packet *sim_packet = g_ptr_array_steal_index(sim->in_flight,
+                                                            index);
+    print_sim_packet(sim, sim_packet);
+    switch (sim_packet->at) {
     case TO_BALANCER:
-        at_balancer(world, flight);
+        balancer_receives(sim, sim_packet);
         break;
     case TO_AGENT:
-        at_agent(world, flight, false);
+        agent_receives(sim, sim_packet, false);
         break;
     case TO_HOST:
-        at_host(world, flight);
+        host_receives(sim, sim_packet);
         break;
     case TO_AGENT_FROM_HOST:
-        at_agent(world, flight, true);
+        agent_receives(sim, sim_packet, true);
         break;
     case TO_CALLER:
-        at_caller(world, flight);
+        caller_receives(sim, sim_packet);
         break;
     }
-    g_free(flight);
+    g_free(sim_packet);
 }
 
 static void
-run_timers(struct world *world)
+run_timers(struct simulation *sim)
 {
     for (unsigned i = 0; i < SERVICES; i++) {
         for (unsigned j = 0; j < UPSTREAMS; j++) {
-            struct upstream *upstream = &world->upstreams[i][j];
+            struct upstream *upstream = &sim->upstreams[i][j];
             struct rp_actions actions = {0};
             while (upstream->alive &&
-                   RpAgent_OnTimer(upstream->agent, world->now, &actions)) {
-                carry_out(world, i, j, &actions);
+                   RpAgent_OnTimer(upstream->agent, sim->now, &actions)) {
+                perform_actions(sim, i, j, &actions);
             }
         }
     }
 }
 
-/* Planned change only: joins, drains, drains taken back, agents replaced,
- * tables that reach one instance and not another. */
+/* Applies a random planned change: an upstream joins, drains or resumes, an
+ * agent is replaced, or one instance receives its table. Hosts never fail. */
 static void
-change_something(struct world *world)
+apply_random_change(struct simulation *sim)
 {
-    unsigned service = (unsigned)roll(world, SERVICES);
-    unsigned number = (unsigned)roll(world, UPSTREAMS);
-    struct upstream *upstream = &world->upstreams[service][number];
+    unsigned service = (unsigned)random_below(sim, SERVICES);
+    unsigned number = (unsigned)random_below(sim, UPSTREAMS);
+    struct upstream *upstream = &sim->upstreams[service][number];
 
-    switch (roll(world, 6)) {
+    switch (random_below(sim, 6)) {
     case 0:
         upstream->alive = true;
-        start_agent(world, service, number);
+        start_agent(sim, service, number);
         break;
     case 1:
         if (upstream->alive) {
@@ -550,157 +571,160 @@
         break;
     case 2:
         if (upstream->alive) {
-            start_agent(world, service, number); /* replaced */
+            start_agent(sim, service, number); /* replaces the agent */
         }
         break;
     case 3:
         if (upstream->alive) {
-            refresh_agent(world, service, number);
+            update_agent_table(sim, service, number);
         }
         break;
     default:
-        refresh(world, world->tables[roll(world, BALANCERS)]);
+        update_table(sim, sim->tables[random_below(sim, BALANCERS)]);
     }
 }
 
+/* Checks that payload of a flow reached at most one host of each service. */
 static void
-check_payload(struct world *world)
+check_payload(struct simulation *sim)
 {
     for (unsigned number = 0; number < FLOWS; number++) {
         for (unsigned i = 0; i < SERVICES; i++) {
-            unsigned takers = 0;
+            unsigned receivers = 0;
             for (unsigned j = 0; j < UPSTREAMS; j++) {
-                takers += world->upstreams[i][j].flows[number].payload > 0;
+                receivers += sim->upstreams[i][j].flows[number].payload > 0;
             }
-            CHECK(world, takers <= 1, "payload of a flow reached two hosts");
+            CHECK(sim, receivers <= 1, "payload of a flow reached two hosts");
         }
     }
 }
 
 static void
-refresh_all(struct world *world)
+update_all_tables(struct simulation *sim)
 {
     for (unsigned i = 0; i < BALANCERS; i++) {
-        refresh(world, world->tables[i]);
+        update_table(sim, sim->tables[i]);
     }
     for (unsigned i = 0; i < SERVICES; i++) {
         for (unsigned j = 0; j < UPSTREAMS; j++) {
-            refresh_agent(world, i, j);
+            update_agent_table(sim, i, j);
         }
     }
 }
 
-/* With the faults over, every established flow must still get its data to
- * its host. */
+/* Ends the fault injection and checks that the data of every established flow
+ * reaches its host. */
 static void
-check_flows_work(struct world *world)
+check_established_flows(struct simulation *sim)
 {
-    int64_t in_force = world->now + IN_FORCE_US;
-    bool refreshed = false;
+    int64_t tables_updated = sim->now + TABLE_UPDATE_US;
+    bool updated = false;
 
-    world->faulty = false;
+    sim->faulty = false;
     for (unsigned round = 0; round < ROUNDS_TO_SETTLE; round++) {
         for (unsigned i = 0; i < FLOWS; i++) {
-            if (world->flows[i].state == CALLER_ESTABLISHED &&
-                world->flights->len < MAX_IN_FLIGHT / 2) {
-                caller_acts(world, i);
+            if (sim->flows[i].state == CALLER_ESTABLISHED &&
+                sim->in_flight->len < MAX_IN_FLIGHT / 2) {
+                step_caller(sim, i);
             }
         }
-        while (world->flights->len) {
-            deliver(world);
+        while (sim->in_flight->len) {
+            deliver(sim);
         }
-        world->now += 50 * RP_US_PER_MS;
-        run_timers(world);
-        if (!refreshed && world->now >= in_force) {
-            refresh_all(world);
-            refreshed = true;
+        sim->now += 50 * RP_US_PER_MS;
+        run_timers(sim);
+        if (!updated && sim->now >= tables_updated) {
+            update_all_tables(sim);
+            updated = true;
         }
     }
     for (unsigned i = 0; i < FLOWS; i++) {
-        const struct caller_flow *flow = &world->flows[i];
+        const struct caller_flow *flow = &sim->flows[i];
         if (flow->state != CALLER_ESTABLISHED) {
             continue;
         }
-        CHECK(world, flow->owner >= 0, "established without an owner");
+        CHECK(sim, flow->owner >= 0,
+              "the owner of an established flow does not have the flow");
         const struct host_flow *host =
-            &world->upstreams[flow->service][flow->owner].flows[i];
-        CHECK(world, host->state == HOST_ESTABLISHED && host->payload > 0,
+            &sim->upstreams[flow->service][flow->owner].flows[i];
+        CHECK(sim, host->state == HOST_ESTABLISHED && host->payload > 0,
               "an established flow does not reach its host");
-        CHECK(world, flow->acked != flow->isn + 1,
+        CHECK(sim, flow->acked != flow->isn + 1,
               "an established flow gets no answer");
     }
 }
 
 static void
-start_world(struct world *world, uint32_t seed)
+init_simulation(struct simulation *sim, uint32_t seed)
 {
-    world->seed = seed;
-    world->dice = g_rand_new_with_seed(seed);
-    world->faulty = true;
-    world->flights = g_ptr_array_new_with_free_func(g_free);
-    assert_int_equal(RpFlowChart_Load(&world->chart, NULL), RP_OK);
+    sim->seed = seed;
+    sim->random = g_rand_new_with_seed(seed);
+    sim->faulty = true;
+    sim->in_flight = g_ptr_array_new_with_free_func(g_free);
+    assert_int_equal(RpFlowChart_Load(&sim->chart, NULL), RP_OK);
     for (unsigned i = 0; i < SERVICES; i++) {
         for (unsigned j = 0; j < UPSTREAMS; j++) {
-            world->upstreams[i][j].alive = j < 3;
-            world->agent_tables[i][j] = RpTable_Create();
+            sim->upstreams[i][j].alive = j < 3;
+            sim->agent_tables[i][j] = RpTable_Create();
         }
     }
     for (unsigned i = 0; i < SERVICES; i++) {
         for (unsigned j = 0; j < UPSTREAMS; j++) {
-            start_agent(world, i, j);
+            start_agent(sim, i, j);
         }
     }
     for (unsigned i = 0; i < BALANCERS; i++) {
-        world->tables[i] = RpTable_Create();
-        refresh(world, world->tables[i]);
+        sim->tables[i] = RpTable_Create();
+        update_table(sim, sim->tables[i]);
     }
     for (unsigned i = 0; i < FLOWS; i++) {
-        world->flows[i].service = i % SERVICES;
+        sim->flows[i].service = i % SERVICES;
     }
 }
 
 static void
-end_world(struct world *world)
+clear_simulation(struct simulation *sim)
 {
     for (unsigned i = 0; i < SERVICES; i++) {
         for (unsigned j = 0; j < UPSTREAMS; j++) {
-            RpAgent_Free(world->upstreams[i][j].agent);
-            RpTable_Free(world->agent_tables[i][j]);
+            RpAgent_Free(sim->upstreams[i][j].agent);
+            RpTable_Free(sim->agent_tables[i][j]);
         }
     }
     for (unsigned i = 0; i < BALANCERS; i++) {
-        RpTable_Free(world->tables[i]);
+        RpTable_Free(sim->tables[i]);
     }
-    g_ptr_array_unref(world->flights);
-    g_rand_free(world->dice);
+    g_ptr_array_unref(sim->in_flight);
+    g_rand_free(sim->random);
 }
 
+/* Runs one seed and returns how many flows are established at the end. */
 static unsigned
 run_seed(uint32_t seed)
 {
-    static struct world world;
+    static struct simulation sim;
     unsigned established = 0;
 
-    memset(&world, 0, sizeof world);
-    start_world(&world, seed);
+    memset(&sim, 0, sizeof sim);
+    init_simulation(&sim, seed);
     for (int step = 0; step < STEPS; step++) {
-        world.now += roll(&world, 4) * RP_US_PER_MS;
-        if (roll(&world, 6) == 0) {
-            caller_acts(&world, (unsigned)roll(&world, FLOWS));
+        sim.now += random_below(&sim, 4) * RP_US_PER_MS;
+        if (random_below(&sim, 6) == 0) {
+            step_caller(&sim, (unsigned)random_below(&sim, FLOWS));
         }
-        if (roll(&world, 60) == 0) {
-            change_something(&world);
+        if (random_below(&sim, 60) == 0) {
+            apply_random_change(&sim);
         }
-        deliver(&world);
-        run_timers(&world);
-        check_payload(&world);
+        deliver(&sim);
+        run_timers(&sim);
+        check_payload(&sim);
     }
-    check_flows_work(&world);
-    check_payload(&world);
+    check_established_flows(&sim);
+    check_payload(&sim);
     for (unsigned i = 0; i < FLOWS; i++) {
-        established += world.flows[i].state == CALLER_ESTABLISHED;
+        established += sim.flows[i].state == CALLER_ESTABLISHED;
     }
-    end_world(&world);
+    clear_simulation(&sim);
     return established;
 }
 
@@ -712,7 +736,7 @@
     (void)state;
     unsigned established = run_seeds(run_seed, DEFAULT_SEEDS, extra_seeds,
                                      G_N_ELEMENTS(extra_seeds), &ran);
-    print_message("%u seeds, %u flows established, all alive\n", ran,
+    print_message("%u seeds, %u flows established, none broken\n", ran,
                   established);
     assert_true(established > ran * FLOWS / 2);
 }
