--- a/lib/flow/rp_agent.c
+++ b/lib/flow/rp_agent.c
@@ -14,7 +14,7 @@
     struct rp_agent *agent = g_new0(struct rp_agent, 1);
 
     g_queue_init(&agent->short_timers);
-    g_queue_init(&agent->reserves);
+    g_queue_init(&agent->reservations);
     agent->config = *config;
     if (!agent->config.codec) {
         agent->config.codec = &rp_codec_ipv4;
@@ -22,7 +22,7 @@
     if (agent->config.patience == 0) {
         agent->config.patience = RP_SYN_PATIENCE_US;
     }
-    agent->lost = g_array_new(FALSE, FALSE, sizeof(struct rp_flow_key));
+    agent->lost_flows = g_array_new(FALSE, FALSE, sizeof(struct rp_flow_key));
     agent->chart = chart;
     agent->policy = policy;
     agent->counters = counters;
@@ -33,7 +33,7 @@
         RpAgent_Free(agent);
         return NULL;
     }
-    agent->retry_cents = RP_RETRY_BURST_CENTS;
+    agent->retry_budget_cents = RP_RETRY_BURST_CENTS;
     return agent;
 }
 
@@ -44,12 +44,12 @@
         return;
     }
     g_queue_clear_full(&agent->short_timers, g_free);
-    g_queue_clear_full(&agent->reserves, g_free);
-    g_array_free(agent->lost, TRUE);
+    g_queue_clear_full(&agent->reservations, g_free);
+    g_array_free(agent->lost_flows, TRUE);
     RpAgent_GateFree(agent);
     RpFlowTable_Free(agent->flows);
     RpHold_Free(agent->hold);
-    g_free(agent->taken);
+    g_free(agent->action_packet);
     RpAdmission_Free(agent->policy);
     g_free(agent);
 }
@@ -72,7 +72,7 @@
 void
 RpAgent_SetHostState(struct rp_agent *agent, enum rp_host_state state)
 {
-    agent->host = state;
+    agent->host_state = state;
 }
 
 void
@@ -85,15 +85,15 @@
 void
 RpAgent_SetKnowsAll(struct rp_agent *agent)
 {
-    agent->knows_all = true;
+    agent->knows_all_flows = true;
 }
 
 void
 RpAgent_HostRestarted(struct rp_agent *agent, int64_t now)
 {
-    agent->knows_all = true;
-    g_array_set_size(agent->lost, 0);
-    RpFlowTable_Collect(agent->flows, RP_FLOW_OWNED, agent->lost);
+    agent->knows_all_flows = true;
+    g_array_set_size(agent->lost_flows, 0);
+    RpFlowTable_Collect(agent->flows, RP_FLOW_OWNED, agent->lost_flows);
     RpHealth_Answered(&agent->health, now);
 }
 
@@ -103,16 +103,16 @@
     actions->count = 0;
     actions->begins_request = false;
     actions->begins_answer = false;
-    g_free(agent->taken);
-    agent->taken = NULL;
+    g_free(agent->action_packet);
+    agent->action_packet = NULL;
 }
 
 const struct rp_held *
 RpAgent_TakeHeld(struct rp_agent *agent, const struct rp_flow *flow)
 {
-    assert(!agent->taken);
-    agent->taken = RpHold_Take(agent->hold, flow->caller);
-    return agent->taken;
+    assert(!agent->action_packet);
+    agent->action_packet = RpHold_Take(agent->hold, flow->caller);
+    return agent->action_packet;
 }
 
 struct rp_action *
@@ -307,7 +307,7 @@
     else if (RpPacket_Opens(packet)) {
         RpAgent_Decide(agent, now, NULL, packet, &geneve->chain, actions);
     }
-    else if (agent->knows_all) {
+    else if (agent->knows_all_flows) {
         RpAgent_Pass(agent, now, NULL, packet, &geneve->chain, actions);
     }
     else if (packet->flags & RP_TCP_RST) {
@@ -475,8 +475,9 @@
         int64_t elapsed = MAX(now - config->ramp_from, 0);
         slots = (uint32_t)(slots * elapsed / ramp_length);
     }
-    return (struct rp_agent_load){
-        .slots = MAX(slots, 1), .flows = agent->owned, .busy = agent->busy};
+    return (struct rp_agent_load){.slots = MAX(slots, 1),
+                                  .flows = agent->owned_flows,
+                                  .busy = agent->busy_flows};
 }
 
 uint8_t
--- a/lib/flow/rp_agent_classify.c
+++ b/lib/flow/rp_agent_classify.c
@@ -1,8 +1,8 @@
 /* Classification of packets into the events of charts/flow.chart. */
 #include "rp_agent_internal.h"
 
-/* Beyond this many bytes after the initial sequence number, later comparisons
- * with it may be wrong because sequence numbers wrap around. */
+/* Once an end has sent this many bytes, its sequence numbers may have wrapped
+ * around, so comparisons with its initial sequence number are not reliable. */
 #define MAX_COMPARABLE_SPAN (INT32_C(1) << 30)
 
 /* Whether a segment is older than the SYN that opened the flow. */
--- a/lib/flow/rp_agent_flow.c
+++ b/lib/flow/rp_agent_flow.c
@@ -11,15 +11,15 @@
 
     if (busy && !was_busy) {
         flow->flags |= RP_FLOW_BUSY;
-        agent->busy++;
+        agent->busy_flows++;
     }
     if (!busy) {
         RpAgent_GateLeave(agent, flow);
     }
     if (!busy && was_busy) {
         flow->flags &= (uint16_t) ~(RP_FLOW_BUSY | RP_FLOW_RESERVED);
-        assert(agent->busy > 0);
-        agent->busy--;
+        assert(agent->busy_flows > 0);
+        agent->busy_flows--;
     }
 }
 
@@ -30,12 +30,12 @@
 
     if (owned && !was_owned) {
         flow->flags |= RP_FLOW_OWNED;
-        agent->owned++;
+        agent->owned_flows++;
     }
     if (!owned && was_owned) {
         flow->flags &= (uint16_t)~RP_FLOW_OWNED;
-        assert(agent->owned > 0);
-        agent->owned--;
+        assert(agent->owned_flows > 0);
+        agent->owned_flows--;
     }
 }
 
@@ -62,7 +62,7 @@
 static void
 append_timer(GQueue *queue, struct rp_flow_key caller, int64_t deadline)
 {
-    struct rp_short_timer *timer = g_new(struct rp_short_timer, 1);
+    struct rp_flow_timer *timer = g_new(struct rp_flow_timer, 1);
 
     timer->caller = caller;
     timer->deadline = deadline;
@@ -74,7 +74,7 @@
 {
     RpAgent_SetBusy(agent, flow, true);
     flow->flags |= RP_FLOW_RESERVED;
-    append_timer(&agent->reserves, flow->caller, now + RP_RESERVE_US);
+    append_timer(&agent->reservations, flow->caller, now + RP_RESERVE_US);
 }
 
 /* Whether this agent counts as the owner of a flow in `state`. */
@@ -167,7 +167,7 @@
         flow->flags &= (uint16_t)~RP_FLOW_UNQUEUED;
     }
     RpAgent_SetBusy(agent, flow, true);
-    if (begins_request && agent->busy <= agent->config.slots) {
+    if (begins_request && agent->busy_flows <= agent->config.slots) {
         flow->flags |= RP_FLOW_UNQUEUED;
     }
     flow->flags &= (uint16_t)~RP_FLOW_RESERVED;
@@ -180,7 +180,7 @@
 record_service_time(struct rp_agent *agent, const struct rp_flow *flow,
                     int64_t now)
 {
-    RpWork_Answered(&agent->work, now, agent->busy, agent->config.slots);
+    RpWork_Answered(&agent->work, now, agent->busy_flows, agent->config.slots);
     if (flow->flags & RP_FLOW_UNQUEUED) {
         RpWork_Took(&agent->work, now - flow->request_since);
     }
--- a/lib/flow/rp_agent_gate.c
+++ b/lib/flow/rp_agent_gate.c
@@ -20,17 +20,17 @@
 RpAgent_GateCreate(struct rp_agent *agent)
 {
     agent->gate = RpGate_Create(UINT32_MAX, UINT32_MAX);
-    agent->kept = g_hash_table_new_full(RpFlowKey_Hash, RpFlowKey_EqualKeys,
-                                        g_free, free_packets);
-    g_queue_init(&agent->released);
+    agent->queued_packets = g_hash_table_new_full(
+        RpFlowKey_Hash, RpFlowKey_EqualKeys, g_free, free_packets);
+    g_queue_init(&agent->released_packets);
 }
 
 void
 RpAgent_GateFree(struct rp_agent *agent)
 {
     RpGate_Free(agent->gate);
-    g_hash_table_destroy(agent->kept);
-    g_queue_clear_full(&agent->released, g_free);
+    g_hash_table_destroy(agent->queued_packets);
+    g_queue_clear_full(&agent->released_packets, g_free);
 }
 
 void
@@ -63,20 +63,21 @@
 queue_packet(struct rp_agent *agent, const struct rp_flow *flow,
              const struct rp_packet *packet)
 {
-    GQueue *packets = g_hash_table_lookup(agent->kept, &flow->caller);
+    GQueue *packets = g_hash_table_lookup(agent->queued_packets,
+                                          &flow->caller);
 
     if (!packets) {
         packets = g_queue_new();
-        g_hash_table_insert(agent->kept,
+        g_hash_table_insert(agent->queued_packets,
                             g_memdup2(&flow->caller, sizeof flow->caller),
                             packets);
     }
     if (packets->length >= MAX_QUEUED_PACKETS ||
-        agent->kept_bytes + packet->len > MAX_QUEUED_BYTES) {
+        agent->queued_bytes + packet->len > MAX_QUEUED_BYTES) {
         return false;
     }
     g_queue_push_tail(packets, copy_packet(packet));
-    agent->kept_bytes += packet->len;
+    agent->queued_bytes += packet->len;
     return true;
 }
 
@@ -96,14 +97,15 @@
 static void
 release_packets(struct rp_agent *agent, struct rp_flow *flow)
 {
-    GQueue *packets = g_hash_table_lookup(agent->kept, &flow->caller);
+    GQueue *packets = g_hash_table_lookup(agent->queued_packets,
+                                          &flow->caller);
     struct rp_held *packet;
 
     while (packets && (packet = g_queue_pop_head(packets)) != NULL) {
-        agent->kept_bytes -= packet->len;
-        g_queue_push_tail(&agent->released, packet);
+        agent->queued_bytes -= packet->len;
+        g_queue_push_tail(&agent->released_packets, packet);
     }
-    g_hash_table_remove(agent->kept, &flow->caller);
+    g_hash_table_remove(agent->queued_packets, &flow->caller);
 }
 
 bool
@@ -188,13 +190,14 @@
 RpAgent_GatePump(struct rp_agent *agent, int64_t now,
                  struct rp_actions *actions)
 {
-    while (agent->released.length == 0 && admit_next_request(agent, now)) {
+    while (agent->released_packets.length == 0 &&
+           admit_next_request(agent, now)) {
     }
-    agent->taken = g_queue_pop_head(&agent->released);
-    if (!agent->taken) {
+    agent->action_packet = g_queue_pop_head(&agent->released_packets);
+    if (!agent->action_packet) {
         return false;
     }
     RpAgent_Send(agent, actions, RP_ACTION_TO_HOST, RP_COUNT_PACKETS_OUT,
-                 agent->taken->data, agent->taken->len);
+                 agent->action_packet->data, agent->action_packet->len);
     return true;
 }
--- a/lib/flow/rp_agent_internal.h
+++ b/lib/flow/rp_agent_internal.h
@@ -43,7 +43,7 @@
 
 /* A timer in a FIFO queue. All timers of a queue have the same duration, so
  * they are in the order of their deadlines. */
-struct rp_short_timer {
+struct rp_flow_timer {
     struct rp_flow_key caller;
     int64_t deadline;
 };
@@ -57,24 +57,24 @@
     const struct rp_table *table;
     const struct rp_service *service;
     bool draining;
-    bool knows_all; /* `flows` has every flow of the host */
-    enum rp_host_state host;
-    GArray *lost; /* of struct rp_flow_key: flows that the host has lost */
+    bool knows_all_flows; /* `flows` has every flow of the host */
+    enum rp_host_state host_state;
+    GArray *lost_flows; /* of struct rp_flow_key: lost by the host */
     struct rp_health health;
     struct rp_flow_table *flows;
     struct rp_hold *hold;
-    struct rp_held *taken; /* kept for the actions of the last call */
+    struct rp_held *action_packet; /* kept for the actions of the last call */
     struct rp_gate *gate;
-    GHashTable *kept;    /* packets at the gate: caller -> GQueue of rp_held */
-    size_t kept_bytes;   /* of the packets in `kept` */
-    GQueue released;     /* of struct rp_held, next to send to the host */
-    GQueue short_timers; /* of struct rp_short_timer: state deadlines */
-    GQueue reserves;     /* of struct rp_short_timer: reserved slots */
-    uint32_t owned;      /* flows with RP_FLOW_OWNED */
-    uint32_t busy;       /* flows with RP_FLOW_BUSY */
-    struct rp_work work; /* time that a request occupies a slot */
-    int32_t retry_cents; /* retry budget, in hundredths of a retry */
-    int64_t swept_until; /* when the flow table is scanned next */
+    GHashTable *queued_packets; /* at the gate: caller -> GQueue of rp_held */
+    size_t queued_bytes;        /* of the packets in `queued_packets` */
+    GQueue released_packets; /* of struct rp_held, next to send to the host */
+    GQueue short_timers;     /* of struct rp_flow_timer: state deadlines */
+    GQueue reservations;     /* of struct rp_flow_timer: reserved slots */
+    uint32_t owned_flows;    /* flows with RP_FLOW_OWNED */
+    uint32_t busy_flows;     /* flows with RP_FLOW_BUSY */
+    struct rp_work work;     /* time that a request occupies a slot */
+    int32_t retry_budget_cents; /* retry budget, in hundredths of a retry */
+    int64_t next_scan;          /* when the flow table is scanned next */
 };
 
 /* Starts a call: empties `actions` and frees the packet that the actions of
--- a/lib/flow/rp_agent_open.c
+++ b/lib/flow/rp_agent_open.c
@@ -4,7 +4,7 @@
 
 #include "rp_agent_internal.h"
 
-#define CENTS_PER_RETRY 100 /* hundredths of a retry */
+#define CENTS_PER_RETRY 100 /* the budget is in hundredths of a retry */
 
 /* Copies a SYN without its payload and returns the copy's size. A SYN never
  * delivers payload to a host, because the flow may still move to another
@@ -47,7 +47,7 @@
 {
     RpAgent_Enter(agent, flow, RP_FLOW_REDIRECT, now);
     flow->next_hop = next;
-    if (!agent->knows_all &&
+    if (!agent->knows_all_flows &&
         now < agent->config.started + RP_SYN_LIFETIME_US) {
         flow->flags |= RP_FLOW_UNSURE;
     }
@@ -56,24 +56,25 @@
 /* Decides whether this agent takes a new flow; `*reason` is the counter of
  * the decision. */
 static enum rp_verdict
-decide_admission(struct rp_agent *agent, int64_t now,
-                 const struct rp_packet *packet, const struct rp_chain *chain,
-                 enum rp_counter *reason)
+get_admission_verdict(struct rp_agent *agent, int64_t now,
+                      const struct rp_packet *packet,
+                      const struct rp_chain *chain, enum rp_counter *reason)
 {
     struct rp_load load;
 
-    if (agent->draining || agent->host == RP_HOST_DRAINING ||
-        agent->host == RP_HOST_GONE) {
+    if (agent->draining || agent->host_state == RP_HOST_DRAINING ||
+        agent->host_state == RP_HOST_GONE) {
         *reason = RP_COUNT_PASS_DRAINING;
         return RP_VERDICT_PASS;
     }
-    if (agent->host == RP_HOST_UNKNOWN) {
+    if (agent->host_state == RP_HOST_UNKNOWN) {
         *reason = RP_COUNT_PASS_HOST_UNKNOWN;
         return RP_VERDICT_PASS;
     }
     RpAgent_FillLoad(agent, now, RpFlowKey_Target(packet->key), chain, &load);
     load.waited_us = packet->waited_us;
-    /* The last candidate uses an unhealthy host too: no other is left. */
+    /* The last candidate takes the flow even if its host is unhealthy, as no
+     * other is left. */
     if (!load.last && !RpHealth_Allows(&agent->health, now)) {
         *reason = RP_COUNT_PASS_UNHEALTHY;
         return RP_VERDICT_PASS;
@@ -218,8 +219,9 @@
 static void
 add_to_retry_budget(struct rp_agent *agent)
 {
-    agent->retry_cents += (int32_t)agent->service->retries_percent;
-    agent->retry_cents = MIN(agent->retry_cents, RP_RETRY_BURST_CENTS);
+    agent->retry_budget_cents += (int32_t)agent->service->retries_percent;
+    agent->retry_budget_cents = MIN(agent->retry_budget_cents,
+                                    RP_RETRY_BURST_CENTS);
 }
 
 void
@@ -228,8 +230,8 @@
                struct rp_actions *actions)
 {
     enum rp_counter reason;
-    enum rp_verdict verdict = decide_admission(agent, now, packet, chain,
-                                               &reason);
+    enum rp_verdict verdict = get_admission_verdict(agent, now, packet, chain,
+                                                    &reason);
 
     if (verdict == RP_VERDICT_REFUSE) {
         refuse_syn(agent, flow, packet, reason, actions);
@@ -262,11 +264,11 @@
 static bool
 take_from_retry_budget(struct rp_agent *agent)
 {
-    if (agent->retry_cents < CENTS_PER_RETRY) {
+    if (agent->retry_budget_cents < CENTS_PER_RETRY) {
         RpCounters_Add(agent->counters, RP_COUNT_RETRY_BUDGET_SPENT);
         return false;
     }
-    agent->retry_cents -= CENTS_PER_RETRY;
+    agent->retry_budget_cents -= CENTS_PER_RETRY;
     return true;
 }
 
--- a/lib/flow/rp_agent_timer.c
+++ b/lib/flow/rp_agent_timer.c
@@ -39,8 +39,8 @@
 end_expired_reservations(struct rp_agent *agent, int64_t now)
 {
     for (;;) {
-        const struct rp_short_timer *timer = g_queue_peek_head(
-            &agent->reserves);
+        const struct rp_flow_timer *timer = g_queue_peek_head(
+            &agent->reservations);
         if (!timer || timer->deadline > now) {
             return;
         }
@@ -48,7 +48,7 @@
         if (flow && (flow->flags & RP_FLOW_RESERVED)) {
             RpAgent_SetBusy(agent, flow, false);
         }
-        g_free(g_queue_pop_head(&agent->reserves));
+        g_free(g_queue_pop_head(&agent->reservations));
     }
 }
 
@@ -58,7 +58,7 @@
 next_expired_short_timer(struct rp_agent *agent, int64_t now)
 {
     for (;;) {
-        const struct rp_short_timer *timer = g_queue_peek_head(
+        const struct rp_flow_timer *timer = g_queue_peek_head(
             &agent->short_timers);
         if (!timer || timer->deadline > now) {
             return NULL;
@@ -81,12 +81,12 @@
     struct rp_flow_key caller;
     size_t bucket_count = RpFlowTable_Places(agent->flows) / SCANS_PER_TABLE;
 
-    if (now < agent->swept_until) {
+    if (now < agent->next_scan) {
         return NULL;
     }
     if (RpFlowTable_Due(agent->flows, now, MAX(bucket_count, MIN_SCAN_BUCKETS),
                         &caller, 1) == 0) {
-        agent->swept_until = now + SCAN_INTERVAL_US;
+        agent->next_scan = now + SCAN_INTERVAL_US;
         return NULL;
     }
     return RpFlowTable_Find(agent->flows, caller);
@@ -98,11 +98,11 @@
 reset_next_lost_flow(struct rp_agent *agent, int64_t now,
                      struct rp_actions *actions)
 {
-    while (agent->lost->len > 0) {
+    while (agent->lost_flows->len > 0) {
         struct rp_flow *flow = RpFlowTable_Find(
-            agent->flows, g_array_index(agent->lost, struct rp_flow_key,
-                                        agent->lost->len - 1));
-        g_array_set_size(agent->lost, agent->lost->len - 1);
+            agent->flows, g_array_index(agent->lost_flows, struct rp_flow_key,
+                                        agent->lost_flows->len - 1));
+        g_array_set_size(agent->lost_flows, agent->lost_flows->len - 1);
         if (flow && (flow->flags & RP_FLOW_OWNED)) {
             RpAgent_ResetLost(agent, now, flow, actions);
             return true;
@@ -114,8 +114,8 @@
 static int64_t
 first_deadline(const GQueue *timers)
 {
-    const struct rp_short_timer *first = timers->head ? timers->head->data
-                                                      : NULL;
+    const struct rp_flow_timer *first = timers->head ? timers->head->data
+                                                     : NULL;
 
     return first ? first->deadline : RP_NEVER;
 }
@@ -126,13 +126,13 @@
     if (!agent->service) {
         return RP_NEVER;
     }
-    if (agent->lost->len > 0) {
+    if (agent->lost_flows->len > 0) {
         return 0;
     }
     int64_t next = MIN(first_deadline(&agent->short_timers),
-                       first_deadline(&agent->reserves));
+                       first_deadline(&agent->reservations));
     if (RpFlowTable_Count(agent->flows) > 0) {
-        next = MIN(next, agent->swept_until);
+        next = MIN(next, agent->next_scan);
     }
     return MIN(next, RpGate_NextDeadline(agent->gate));
 }
