--- a/lib/flow/rp_agent.h
+++ b/lib/flow/rp_agent.h
@@ -34,7 +34,7 @@
     RP_ACTION_DROP,
     RP_ACTION_TO_HOST,
     RP_ACTION_TO_CALLER,
-    RP_ACTION_PASS /* send to the agent at `next`, with `chain` and `tag` */
+    RP_ACTION_PASS /* to the agent at `next` */
 };
 
 /* One action. `data` is borrowed: it points into the packet that was passed
--- a/lib/flow/rp_agent_internal.h
+++ b/lib/flow/rp_agent_internal.h
@@ -63,16 +63,18 @@
     struct rp_health health;
     struct rp_flow_table *flows;
     struct rp_hold *hold;
-    struct rp_held *action_packet; /* kept for the actions of the last call */
+    /* The packet that the actions of the last call point into, or NULL. */
+    struct rp_held *action_packet;
     struct rp_gate *gate;
-    GHashTable *queued_packets; /* at the gate: caller -> GQueue of rp_held */
+    /* Packets that the gate delays: caller -> GQueue of rp_held. */
+    GHashTable *queued_packets;
     size_t queued_bytes;        /* of the packets in `queued_packets` */
-    GQueue released_packets; /* of struct rp_held, next to send to the host */
-    GQueue short_timers;     /* of struct rp_flow_timer: state deadlines */
-    GQueue reservations;     /* of struct rp_flow_timer: reserved slots */
-    uint32_t owned_flows;    /* flows with RP_FLOW_OWNED */
-    uint32_t busy_flows;     /* flows with RP_FLOW_BUSY */
-    struct rp_work work;     /* time that a request occupies a slot */
+    GQueue released_packets;    /* of rp_held, to send to the host */
+    GQueue short_timers;        /* of struct rp_flow_timer: state deadlines */
+    GQueue reservations;        /* of struct rp_flow_timer: reserved slots */
+    uint32_t owned_flows;       /* flows with RP_FLOW_OWNED */
+    uint32_t busy_flows;        /* flows with RP_FLOW_BUSY */
+    struct rp_work work;        /* time that a request occupies a slot */
     int32_t retry_budget_cents; /* retry budget, in hundredths of a retry */
     int64_t next_scan;          /* when the flow table is scanned next */
 };
--- a/lib/flow/rp_agent_open.c
+++ b/lib/flow/rp_agent_open.c
@@ -310,8 +310,8 @@
         deliver_refusal(agent, now, flow, refusal, actions);
     }
     else if (held) {
-        /* No other candidate is left: wait for the host, and for the caller
-         * to repeat its SYN. */
+        /* No other candidate or no retry budget is left: wait for the host,
+         * and for the caller to repeat its SYN. */
         flow->deadline = now + RP_CONFIRM_PATIENCE_US;
     }
     else {
