--- a/lib/control/rp_distribution.c
+++ b/lib/control/rp_distribution.c
@@ -1,3 +1,4 @@
+/* Full tables and updates for nodes, and the revisions that they confirm. */
 #include "rp_distribution.h"
 
 #include <string.h>
@@ -17,19 +18,19 @@
     distribution->user = user;
     distribution->nodes = g_hash_table_new_full(RpName_Hash, RpName_EqualKeys,
                                                 NULL, g_free);
-    distribution->pending.touched = g_hash_table_new_full(
+    distribution->pending.services = g_hash_table_new_full(
         RpName_Hash, RpName_EqualKeys, g_free, NULL);
-    distribution->pending.shared = g_hash_table_new_full(
+    distribution->pending.shared_services = g_hash_table_new_full(
         RpName_Hash, RpName_EqualKeys, g_free, NULL);
-    distribution->pending.removed = g_array_new(
+    distribution->pending.removed_services = g_array_new(
         FALSE, TRUE, sizeof(struct removed_service));
     distribution->pending.vips = RpSchema_NewList(&rp_msg_vip_schema);
     distribution->pending.removed_vips = RpSchema_NewList(
         &rp_msg_removed_vip_schema);
-    distribution->vips = g_hash_table_new_full(
-        g_int64_hash, g_int64_equal, g_free, RpDistribution_FreeText);
-    distribution->plain = g_hash_table_new_full(RpName_Hash, RpName_EqualKeys,
-                                                g_free, NULL);
+    distribution->sent_vips = g_hash_table_new_full(
+        g_int64_hash, g_int64_equal, g_free, RpDistribution_FreeString);
+    distribution->edition_services = g_hash_table_new_full(
+        RpName_Hash, RpName_EqualKeys, g_free, NULL);
     distribution->pending.deadline = RP_NEVER;
     return distribution;
 }
@@ -39,20 +40,21 @@
 {
     if (distribution) {
         g_hash_table_destroy(distribution->nodes);
-        g_hash_table_destroy(distribution->pending.touched);
-        g_hash_table_destroy(distribution->pending.shared);
-        g_array_free(distribution->pending.removed, TRUE);
+        g_hash_table_destroy(distribution->pending.services);
+        g_hash_table_destroy(distribution->pending.shared_services);
+        g_array_free(distribution->pending.removed_services, TRUE);
         RpDistribution_ClearVips(distribution->pending.vips);
         g_array_free(distribution->pending.vips, TRUE);
         g_array_free(distribution->pending.removed_vips, TRUE);
-        g_hash_table_destroy(distribution->vips);
-        g_hash_table_destroy(distribution->plain);
+        g_hash_table_destroy(distribution->sent_vips);
+        g_hash_table_destroy(distribution->edition_services);
         g_free(distribution);
     }
 }
 
 static struct node *
-find_connection(struct rp_distribution *distribution, uint64_t connection)
+find_node_by_connection(struct rp_distribution *distribution,
+                        uint64_t connection)
 {
     GHashTableIter iter;
     gpointer value;
@@ -67,9 +69,10 @@
     return NULL;
 }
 
+/* Appends the service's upstreams to a list of struct rp_msg_member. */
 static void
-add_members(const struct rp_distribution *distribution,
-            const struct rp_name *service, GArray *members)
+append_members(const struct rp_distribution *distribution,
+               const struct rp_name *service, GArray *members)
 {
     GPtrArray *list = RpRegistry_List(distribution->registry, service);
 
@@ -90,8 +93,8 @@
 }
 
 static void
-add_service(const struct rp_distribution *distribution,
-            const struct rp_entry *entry, GArray *services)
+append_service(const struct rp_distribution *distribution,
+               const struct rp_entry *entry, GArray *services)
 {
     const struct rp_document *document = &entry->document;
     struct rp_msg_service service = {
@@ -107,23 +110,25 @@
         .long_slots_percent = document->long_slots_percent,
         .members = RpSchema_NewList(&rp_msg_member_schema)};
 
-    add_members(distribution, &entry->name, service.members);
+    append_members(distribution, &entry->name, service.members);
     g_array_append_val(services, service);
 }
 
-/* Whether a node with this subscription sees the service: an agent sees its
- * own and those that share a virtual address with it. */
+/* Returns whether the node's tables include the service. A node that is
+ * subscribed to one service also gets the services that share a virtual
+ * address with it. */
 static bool
-sees(const struct rp_distribution *distribution, const struct node *node,
-     const struct rp_name *service)
+is_service_visible(const struct rp_distribution *distribution,
+                   const struct node *node, const struct rp_name *service)
 {
     return node->service.len == 0 || RpName_Equal(&node->service, service) ||
-           RpDistribution_AreSiblings(distribution, &node->service, service);
+           RpDistribution_ShareVip(distribution, &node->service, service);
 }
 
+/* Starts a TABLE message without services; clear it with RpMsg_Clear. */
 static void
-start_table(const struct rp_distribution *distribution, struct rp_msg *msg,
-            bool complete)
+init_table_message(const struct rp_distribution *distribution,
+                   struct rp_msg *msg, bool complete)
 {
     memset(msg, 0, sizeof *msg);
     msg->type = RP_MSG_TABLE;
@@ -133,43 +138,44 @@
            RP_HASH_KEY_SIZE);
     msg->table.services = RpSchema_NewList(&rp_msg_service_schema);
     msg->table.removed = RpSchema_NewList(&rp_msg_removed_schema);
-    msg->table.gathering = distribution->gather_until != 0;
+    msg->table.gathering = distribution->gathering_until != 0;
     msg->table.vips = RpSchema_NewList(&rp_msg_vip_schema);
     msg->table.removed_vips = RpSchema_NewList(&rp_msg_removed_vip_schema);
 }
 
 static void
-add_seen_services(const struct rp_distribution *distribution,
-                  const struct node *node, GArray *services)
+append_visible_services(const struct rp_distribution *distribution,
+                        const struct node *node, GArray *services)
 {
     GPtrArray *entries = RpCatalog_List(distribution->catalog);
 
     for (guint i = 0; i < entries->len; i++) {
         const struct rp_entry *entry = g_ptr_array_index(entries, i);
-        if (sees(distribution, node, &entry->name)) {
-            add_service(distribution, entry, services);
+        if (is_service_visible(distribution, node, &entry->name)) {
+            append_service(distribution, entry, services);
         }
     }
     g_ptr_array_unref(entries);
 }
 
 static void
-send_whole(struct rp_distribution *distribution, struct node *node)
+send_full_table(struct rp_distribution *distribution, struct node *node)
 {
     struct rp_msg msg;
 
-    start_table(distribution, &msg, true);
-    add_seen_services(distribution, node, msg.table.services);
-    RpDistribution_AddVips(distribution, node, msg.table.vips);
-    node->served = true;
+    init_table_message(distribution, &msg, true);
+    append_visible_services(distribution, node, msg.table.services);
+    RpDistribution_AppendVisibleVips(distribution, node, msg.table.vips);
+    node->has_full_table = true;
     distribution->send(distribution->user, node->connection, &msg);
     RpMsg_Clear(&msg);
 }
 
-/* Adds the services of a set of names that the node sees. */
+/* Appends those of the named services that are visible to the node. */
 static void
-add_named(const struct rp_distribution *distribution, const struct node *node,
-          GHashTable *names, GArray *services)
+append_visible_named_services(const struct rp_distribution *distribution,
+                              const struct node *node, GHashTable *names,
+                              GArray *services)
 {
     GHashTableIter iter;
     gpointer key;
@@ -178,35 +184,40 @@
     while (g_hash_table_iter_next(&iter, &key, NULL)) {
         const struct rp_entry *entry = RpCatalog_Find(distribution->catalog,
                                                       key);
-        if (entry && sees(distribution, node, &entry->name)) {
-            add_service(distribution, entry, services);
+        if (entry && is_service_visible(distribution, node, &entry->name)) {
+            append_service(distribution, entry, services);
         }
     }
 }
 
+/* Sends what has changed since the last flush and is visible to the node.
+ * Sends nothing if no service changed and the revision is the same. */
 static void
-send_change(struct rp_distribution *distribution, const struct node *node)
+send_update(struct rp_distribution *distribution, const struct node *node)
 {
     const struct pending *pending = &distribution->pending;
     struct rp_msg msg;
 
-    start_table(distribution, &msg, false);
-    add_named(distribution, node, pending->touched, msg.table.services);
+    init_table_message(distribution, &msg, false);
+    append_visible_named_services(distribution, node, pending->services,
+                                  msg.table.services);
     if (node->service.len > 0) {
-        add_named(distribution, node, pending->shared, msg.table.services);
+        append_visible_named_services(
+            distribution, node, pending->shared_services, msg.table.services);
     }
-    for (guint i = 0; i < pending->removed->len; i++) {
-        const struct removed_service *gone = &g_array_index(
-            pending->removed, struct removed_service, i);
-        const struct rp_msg_removed row = {.id = gone->id};
-        if (gone->maybe_shared || sees(distribution, node, &gone->name)) {
+    for (guint i = 0; i < pending->removed_services->len; i++) {
+        const struct removed_service *removed = &g_array_index(
+            pending->removed_services, struct removed_service, i);
+        const struct rp_msg_removed row = {.id = removed->id};
+        if (removed->maybe_shared ||
+            is_service_visible(distribution, node, &removed->name)) {
             g_array_append_val(msg.table.removed, row);
         }
     }
     for (guint i = 0; i < pending->vips->len; i++) {
         const struct rp_msg_vip *vip = &g_array_index(pending->vips,
                                                       struct rp_msg_vip, i);
-        if (RpDistribution_SeesVip(distribution, node, vip)) {
+        if (RpDistribution_IsVipVisible(distribution, node, vip)) {
             struct rp_msg_vip copy = RpDistribution_CopyVip(vip);
             g_array_append_val(msg.table.vips, copy);
         }
@@ -214,7 +225,7 @@
     g_array_append_vals(msg.table.removed_vips, pending->removed_vips->data,
                         pending->removed_vips->len);
     if (msg.table.services->len || msg.table.removed->len ||
-        pending->revision) {
+        pending->revision_changed) {
         distribution->send(distribution->user, node->connection, &msg);
     }
     RpMsg_Clear(&msg);
@@ -240,14 +251,15 @@
     node->role = hello->role;
     node->service = subscribe->service;
     node->connection = connection;
-    node->served = false;
+    node->has_full_table = false;
     node->confirmed = MAX(node->confirmed, subscribe->revision);
     distribution->pending.deadline = MIN(distribution->pending.deadline, now);
 }
 
+/* Starts or clears the time since which the node is behind the catalogue. */
 static void
-note_confirmed(const struct rp_distribution *distribution, struct node *node,
-               int64_t now)
+update_behind_since(const struct rp_distribution *distribution,
+                    struct node *node, int64_t now)
 {
     if (node->confirmed >= RpCatalog_Revision(distribution->catalog)) {
         node->behind_since = 0;
@@ -261,38 +273,40 @@
 RpDistribution_Confirm(struct rp_distribution *distribution, int64_t now,
                        uint64_t connection, uint64_t revision)
 {
-    struct node *node = find_connection(distribution, connection);
+    struct node *node = find_node_by_connection(distribution, connection);
 
     if (!node) {
         return false;
     }
-    bool is_news = revision > node->confirmed &&
-                   revision == RpCatalog_Revision(distribution->catalog);
+    bool is_first_confirmation = revision > node->confirmed &&
+                                 revision ==
+                                     RpCatalog_Revision(distribution->catalog);
     node->confirmed = MAX(node->confirmed, revision);
-    note_confirmed(distribution, node, now);
-    return is_news;
+    update_behind_since(distribution, node, now);
+    return is_first_confirmation;
 }
 
 void
 RpDistribution_Disconnect(struct rp_distribution *distribution, int64_t now,
                           uint64_t connection)
 {
-    struct node *node = find_connection(distribution, connection);
+    struct node *node = find_node_by_connection(distribution, connection);
 
     if (node) {
         node->connection = 0;
-        node->away_since = now;
+        node->disconnected_at = now;
     }
 }
 
+/* Schedules a flush one batch time from now, unless one is due earlier. */
 static void
-set_deadline(struct rp_distribution *distribution, int64_t now)
+schedule_flush(struct rp_distribution *distribution, int64_t now)
 {
     struct pending *pending = &distribution->pending;
 
     if (RpCatalog_Revision(distribution->catalog) !=
         distribution->sent_revision) {
-        pending->revision = true;
+        pending->revision_changed = true;
     }
     pending->deadline = MIN(pending->deadline, now + RP_TABLE_BATCH_US);
 }
@@ -301,9 +315,9 @@
 RpDistribution_Touch(struct rp_distribution *distribution, int64_t now,
                      const struct rp_name *service)
 {
-    g_hash_table_add(distribution->pending.touched,
+    g_hash_table_add(distribution->pending.services,
                      g_memdup2(service, sizeof *service));
-    set_deadline(distribution, now);
+    schedule_flush(distribution, now);
 }
 
 void
@@ -312,60 +326,63 @@
 {
     const struct removed_service row = {.name = *service, .id = id};
 
-    g_array_append_val(distribution->pending.removed, row);
-    set_deadline(distribution, now);
+    g_array_append_val(distribution->pending.removed_services, row);
+    schedule_flush(distribution, now);
 }
 
 void
 RpDistribution_TouchEdition(struct rp_distribution *distribution, int64_t now)
 {
     GPtrArray *entries = RpCatalog_List(distribution->catalog);
-    GHashTable *known = distribution->plain;
+    GHashTable *previous = distribution->edition_services;
     GHashTableIter iter;
     gpointer key;
     gpointer value;
 
-    distribution->plain = g_hash_table_new_full(RpName_Hash, RpName_EqualKeys,
-                                                g_free, NULL);
+    distribution->edition_services = g_hash_table_new_full(
+        RpName_Hash, RpName_EqualKeys, g_free, NULL);
     for (guint i = 0; i < entries->len; i++) {
         const struct rp_entry *entry = g_ptr_array_index(entries, i);
         if (!entry->from_edition) {
             continue;
         }
-        g_hash_table_insert(distribution->plain,
+        g_hash_table_insert(distribution->edition_services,
                             g_memdup2(&entry->name, sizeof entry->name),
                             GUINT_TO_POINTER(entry->id));
+        /* The catalogue's current revision marks the services that the new
+         * edition added or changed. */
         if (entry->revision == RpCatalog_Revision(distribution->catalog)) {
             RpDistribution_Touch(distribution, now, &entry->name);
         }
         if (RpDistribution_IsShared(distribution, &entry->name)) {
-            g_hash_table_add(distribution->pending.shared,
+            g_hash_table_add(distribution->pending.shared_services,
                              g_memdup2(&entry->name, sizeof entry->name));
         }
     }
-    g_hash_table_iter_init(&iter, known);
+    g_hash_table_iter_init(&iter, previous);
     while (g_hash_table_iter_next(&iter, &key, &value)) {
-        if (g_hash_table_lookup(distribution->plain, key) != value) {
+        if (g_hash_table_lookup(distribution->edition_services, key) !=
+            value) {
             RpDistribution_Remove(distribution, now, key,
                                   GPOINTER_TO_UINT(value));
-            g_array_index(distribution->pending.removed,
+            g_array_index(distribution->pending.removed_services,
                           struct removed_service,
-                          distribution->pending.removed->len - 1)
+                          distribution->pending.removed_services->len - 1)
                 .maybe_shared = true;
         }
     }
-    g_hash_table_destroy(known);
+    g_hash_table_destroy(previous);
     g_ptr_array_unref(entries);
-    distribution->pending.edition = true;
-    set_deadline(distribution, now);
+    distribution->pending.edition_changed = true;
+    schedule_flush(distribution, now);
 }
 
 void
 RpDistribution_TouchAll(struct rp_distribution *distribution, int64_t now)
 {
     RpDistribution_TouchEdition(distribution, now);
-    distribution->pending.everything = true;
-    set_deadline(distribution, now);
+    distribution->pending.resend_all = true;
+    schedule_flush(distribution, now);
 }
 
 void
@@ -379,9 +396,10 @@
     }
 }
 
-/* Nodes that are behind are timed; nodes long away are forgotten. */
+/* Updates the time since which each node is behind, and removes nodes that
+ * have been disconnected for RP_NODE_KEEP_US. */
 static void
-review_nodes(struct rp_distribution *distribution, int64_t now)
+update_nodes(struct rp_distribution *distribution, int64_t now)
 {
     GHashTableIter iter;
     gpointer value;
@@ -389,32 +407,35 @@
     g_hash_table_iter_init(&iter, distribution->nodes);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         struct node *node = value;
-        note_confirmed(distribution, node, now);
+        update_behind_since(distribution, node, now);
         if (node->connection == 0 &&
-            now - node->away_since >= RP_NODE_KEEP_US) {
+            now - node->disconnected_at >= RP_NODE_KEEP_US) {
             g_hash_table_iter_remove(&iter);
         }
     }
 }
 
-/* Whether this replica's whole table may go to a node. */
+/* Returns whether the node may be sent this replica's full table. */
 static bool
-may_serve(const struct rp_distribution *distribution, const struct node *node)
+may_send_full_table(const struct rp_distribution *distribution,
+                    const struct node *node)
 {
     uint64_t revision = RpCatalog_Revision(distribution->catalog);
 
     if (revision == 0 || node->confirmed > revision) {
         return false;
     }
-    /* An agent that was replaced must serve its host's flows even while
-     * there is no leader. What it gets may be old: then it drops packets of
-     * the service's new life, as it would without a table. */
+    /* A replaced agent must serve its host's open flows even while there is
+     * no leader. The table may be stale; the agent then drops packets that
+     * carry a newer incarnation of the service, as it would do without a
+     * table. */
     return distribution->fresh || node->confirmed > 0 ||
            node->role == RP_ROLE_AGENT;
 }
 
+/* Sends a full table or an update to each connected node. */
 static void
-serve_nodes(struct rp_distribution *distribution)
+send_tables(struct rp_distribution *distribution)
 {
     GHashTableIter iter;
     gpointer value;
@@ -425,17 +446,17 @@
         if (node->connection == 0) {
             continue;
         }
-        if (!node->served || distribution->pending.everything) {
-            node->served = false;
-            if (may_serve(distribution, node)) {
-                send_whole(distribution, node);
+        if (!node->has_full_table || distribution->pending.resend_all) {
+            node->has_full_table = false;
+            if (may_send_full_table(distribution, node)) {
+                send_full_table(distribution, node);
             }
             else {
-                distribution->withheld++;
+                distribution->withheld_count++;
             }
         }
         else {
-            send_change(distribution, node);
+            send_update(distribution, node);
         }
     }
 }
@@ -443,7 +464,7 @@
 void
 RpDistribution_GatherUntil(struct rp_distribution *distribution, int64_t until)
 {
-    distribution->gather_until = until;
+    distribution->gathering_until = until;
 }
 
 int64_t
@@ -451,28 +472,30 @@
 {
     struct pending *pending = &distribution->pending;
 
-    if (distribution->gather_until && now >= distribution->gather_until) {
-        distribution->gather_until = 0;
-        pending->everything = true;
+    if (distribution->gathering_until &&
+        now >= distribution->gathering_until) {
+        distribution->gathering_until = 0;
+        pending->resend_all = true;
         pending->deadline = now;
     }
     if (now < pending->deadline) {
         return pending->deadline;
     }
     distribution->generation++;
-    if (pending->edition || pending->everything || !distribution->vips_known) {
-        RpDistribution_ReviewVips(distribution);
+    if (pending->edition_changed || pending->resend_all ||
+        !distribution->sent_vips_filled) {
+        RpDistribution_DiffVips(distribution);
     }
-    serve_nodes(distribution);
-    review_nodes(distribution, now);
-    g_hash_table_remove_all(pending->touched);
-    g_hash_table_remove_all(pending->shared);
-    g_array_set_size(pending->removed, 0);
+    send_tables(distribution);
+    update_nodes(distribution, now);
+    g_hash_table_remove_all(pending->services);
+    g_hash_table_remove_all(pending->shared_services);
+    g_array_set_size(pending->removed_services, 0);
     RpDistribution_ClearVips(pending->vips);
     g_array_set_size(pending->removed_vips, 0);
-    pending->edition = false;
-    pending->everything = false;
-    pending->revision = false;
+    pending->edition_changed = false;
+    pending->resend_all = false;
+    pending->revision_changed = false;
     pending->deadline = RP_NEVER;
     distribution->sent_revision = RpCatalog_Revision(distribution->catalog);
     return RP_NEVER;
@@ -515,7 +538,7 @@
 uint64_t
 RpDistribution_Withheld(const struct rp_distribution *distribution)
 {
-    return distribution->withheld;
+    return distribution->withheld_count;
 }
 
 GArray *
--- a/lib/control/rp_distribution.h
+++ b/lib/control/rp_distribution.h
@@ -1,11 +1,14 @@
-/* Distribution: which node has which table, and what it must be sent.
+/* Sends service tables to nodes and tracks which revision each node runs.
  *
- * Nodes (balancers and agents) subscribe over a connection, known here by a
- * number. A new subscriber gets a whole table, later only the services that
- * changed. Changes are gathered for RP_TABLE_BATCH_US so that a burst costs
- * each node one message. A node confirms the configuration revision that it
- * runs; what it has confirmed outlives its connection, so that a node that
- * is cut off still shows up as behind.
+ * Nodes (balancers and agents) subscribe over a connection, which is
+ * identified here by a number. A new subscriber gets a full table, and later
+ * only updates with the services that changed. Changes are collected for
+ * RP_TABLE_BATCH_US, so that a burst of changes costs one message per node.
+ * Each node confirms the configuration revision that it runs. The confirmed
+ * revision is kept after the connection closes, so that a disconnected node
+ * is still listed as behind.
+ *
+ * All times are microseconds on one monotonic clock.
  */
 #ifndef RP_DISTRIBUTION_H
 #define RP_DISTRIBUTION_H
@@ -17,21 +20,22 @@
 #include "rp_registry.h"
 
 #define RP_TABLE_BATCH_US (50 * RP_US_PER_MS)
-/* A node that has been away this long is forgotten. */
+/* A node that stays disconnected this long is removed from the list. */
 #define RP_NODE_KEEP_US (3600 * RP_US_PER_SECOND)
 #define RP_NODE_MAX 65536
-/* How long upstreams may take to be heard by a replica that has just
- * started: they notice the loss of another one (1.2 s), then try each of
- * the others. */
+/* How long after its start a replica waits for agents to announce their
+ * upstreams to it: agents need 1.2 s to detect that their replica is gone,
+ * and then try each of the other replicas. */
 #define RP_GATHER_US (2500 * RP_US_PER_MS)
 
-/* Called to send a message on a connection. */
+/* Sends a message on a connection. `msg` is valid only during the call. */
 typedef void (*RpDistribution_Send)(void *user, uint64_t connection,
                                     const struct rp_msg *msg);
 
 struct rp_distribution;
 
-/* `catalog` and `registry` are borrowed. */
+/* Creates a distribution without nodes. It borrows `catalog` and `registry`,
+ * which must outlive it. `user` is passed to `send`. */
 struct rp_distribution *
 RpDistribution_Create(const struct rp_catalog *catalog,
                       const struct rp_registry *registry,
@@ -39,65 +43,76 @@
 
 void RpDistribution_Free(struct rp_distribution *distribution);
 
-/* A node asks for its table. `hello` says who it is. */
+/* Adds or updates the node that `hello` names and binds it to `connection`.
+ * The next flush sends it a full table. A new node is ignored when
+ * RP_NODE_MAX nodes are known. */
 void RpDistribution_Subscribe(struct rp_distribution *distribution,
                               int64_t now, uint64_t connection,
                               const struct rp_msg_hello *hello,
                               const struct rp_msg_subscribe *subscribe);
 
-/* A node runs a revision; true if it is the newest and news. */
+/* Records that the node on `connection` runs `revision`. Returns true if this
+ * is the catalogue's current revision and the node confirms it for the first
+ * time. */
 bool RpDistribution_Confirm(struct rp_distribution *distribution, int64_t now,
                             uint64_t connection, uint64_t revision);
 
-/* The connection has ended. */
+/* Marks the node on `connection` as disconnected. */
 void RpDistribution_Disconnect(struct rp_distribution *distribution,
                                int64_t now, uint64_t connection);
 
-/* The service's document or members changed. */
+/* Schedules an update because the document or the members of `service`
+ * changed. */
 void RpDistribution_Touch(struct rp_distribution *distribution, int64_t now,
                           const struct rp_name *service);
 
-/* The service is gone. */
+/* Schedules an update that removes the service with this name and id. */
 void RpDistribution_Remove(struct rp_distribution *distribution, int64_t now,
                            const struct rp_name *service, uint32_t id);
 
-/* Another edition is in force: works out which services and virtual
- * addresses differ. */
+/* Schedules an update because a new edition is in force: finds the services
+ * and virtual addresses that differ from the previous edition. */
 void RpDistribution_TouchEdition(struct rp_distribution *distribution,
                                  int64_t now);
 
-/* Everything changed, as after a restored snapshot. */
+/* Schedules full tables for all nodes, for example after a snapshot was
+ * restored. */
 void RpDistribution_TouchAll(struct rp_distribution *distribution,
                              int64_t now);
 
-/* Whether this replica may give out first tables. While it may not, a
- * balancer that has no table yet waits; agents, and nodes that run a table
- * already, get this replica's if it is not older. */
+/* Sets whether this replica's state is up to date. While it is not, a
+ * balancer that has no table yet is not sent one. Agents, and balancers that
+ * already run a table, still get this replica's table unless it is older
+ * than theirs. */
 void RpDistribution_SetFresh(struct rp_distribution *distribution, int64_t now,
                              bool fresh);
 
-/* Tables say that members may be missing until `until`: agents take a moment
- * to find a replica that has just started. Then every node gets a whole
- * table. */
+/* Marks tables as possibly lacking members (`gathering`) until the time
+ * `until`, because agents need time to find a replica that has just started.
+ * At that time every node is sent a full table. */
 void RpDistribution_GatherUntil(struct rp_distribution *distribution,
                                 int64_t until);
 
-/* Sends what is due. Returns the next time at which something may be. */
+/* Sends the tables and updates that are due. Returns the time of the next
+ * scheduled flush, or RP_NEVER. */
 int64_t RpDistribution_Flush(struct rp_distribution *distribution,
                              int64_t now);
 
-/* The connections of nodes, as a list of uint64_t; free it. */
+/* Lists the connections of all connected nodes as uint64_t. The caller frees
+ * the array. */
 GArray *RpDistribution_Connections(const struct rp_distribution *distribution);
 
-/* How often a first table was held back. */
+/* Returns how often a flush withheld a full table from a node, summed over all
+ * nodes. */
 uint64_t RpDistribution_Withheld(const struct rp_distribution *distribution);
 
-/* The lowest revision that all connected nodes have confirmed (the
- * catalogue's own if there is no node). */
+/* Returns the lowest of the catalogue's revision and the revisions that the
+ * connected nodes have confirmed. */
 uint64_t
 RpDistribution_LowestConfirmed(const struct rp_distribution *distribution);
 
-/* A list of struct rp_msg_node_info, for a status message. */
+/* Lists all known nodes as struct rp_msg_node_info, for a STATUS message. The
+ * caller frees the array. */
 GArray *RpDistribution_Nodes(const struct rp_distribution *distribution,
                              int64_t now);
 
--- a/lib/control/rp_distribution_internal.h
+++ b/lib/control/rp_distribution_internal.h
@@ -1,39 +1,41 @@
-/* The distribution's own parts, shared by the rp_distribution*.c files. */
+/* Structs and functions that only the rp_distribution*.c files share. */
 #ifndef RP_DISTRIBUTION_INTERNAL_H
 #define RP_DISTRIBUTION_INTERNAL_H
 
 #include "rp_distribution.h"
 
-/* A node, known by its name; `connection` is 0 while it is away. */
+/* A node, identified by its name. */
 struct node {
     struct rp_name name;
     struct rp_name zone;
-    struct rp_name service; /* empty: subscribed to all */
+    struct rp_name service; /* empty: subscribed to all services */
     uint8_t role;
-    uint64_t connection;
-    bool served; /* has got a whole table on this connection */
-    uint64_t confirmed;
-    int64_t behind_since; /* 0 while it is not behind */
-    int64_t away_since;
+    uint64_t connection;  /* 0: disconnected */
+    bool has_full_table;  /* was sent one on this connection */
+    uint64_t confirmed;   /* highest revision that the node confirmed */
+    int64_t behind_since; /* 0: not behind the catalogue */
+    int64_t disconnected_at;
 };
 
-/* What changed since the last flush. */
+/* Changes since the last flush. */
 struct pending {
-    GHashTable *touched;  /* names of services, as struct rp_name */
-    GHashTable *shared;   /* names: agents of siblings may lack them */
-    GArray *removed;      /* of struct removed_service */
-    GArray *vips;         /* of struct rp_msg_vip: new or changed */
-    GArray *removed_vips; /* of struct rp_msg_removed_vip */
-    bool edition;
-    bool everything;
-    bool revision;
-    int64_t deadline;
+    GHashTable *services; /* names of changed services, as struct rp_name */
+    /* Names of services that share a virtual address. Agents of the services
+     * behind the same address may not have them in their tables yet. */
+    GHashTable *shared_services;
+    GArray *removed_services; /* of struct removed_service */
+    GArray *vips;             /* of struct rp_msg_vip: new or changed */
+    GArray *removed_vips;     /* of struct rp_msg_removed_vip */
+    bool edition_changed;
+    bool resend_all;       /* send full tables to all nodes */
+    bool revision_changed; /* every node must learn the new revision */
+    int64_t deadline;      /* of the next flush; RP_NEVER: none scheduled */
 };
 
 struct removed_service {
     struct rp_name name;
     uint32_t id;
-    bool maybe_shared; /* agents of other services may have seen it */
+    bool maybe_shared; /* agents of other services may have it */
 };
 
 struct rp_distribution {
@@ -42,45 +44,52 @@
     RpDistribution_Send send;
     void *user;
     GHashTable *nodes; /* name -> struct node */
-    GHashTable *vips;  /* address key -> encoded struct rp_msg_vip, as sent */
-    GHashTable *plain; /* names of the edition's services -> their ids */
-    bool vips_known;   /* `vips` has been filled */
+    /* Virtual addresses as they were last sent: address key -> encoded
+     * struct rp_msg_vip. */
+    GHashTable *sent_vips;
+    GHashTable *edition_services; /* names in the edition -> service ids */
+    bool sent_vips_filled;
     struct pending pending;
     uint64_t generation;
     uint64_t sent_revision;
-    uint64_t withheld;
-    int64_t gather_until; /* 0: all upstreams are known */
+    uint64_t withheld_count;
+    int64_t gathering_until; /* 0: agents have had time to announce */
     bool fresh;
 };
 
-/* Frees a GString, for hash tables. */
-void RpDistribution_FreeText(gpointer data);
+/* Frees a GString; a GDestroyNotify for hash tables. */
+void RpDistribution_FreeString(gpointer data);
 
-/* Empties a list of struct rp_msg_vip. */
+/* Empties a list of struct rp_msg_vip and frees what the elements own. */
 void RpDistribution_ClearVips(GArray *vips);
 
+/* Makes a deep copy; free it with RpSchema_Clear. */
 struct rp_msg_vip RpDistribution_CopyVip(const struct rp_msg_vip *vip);
 
-/* Whether a node with this subscription sees the virtual address. */
-bool RpDistribution_SeesVip(const struct rp_distribution *distribution,
-                            const struct node *node,
-                            const struct rp_msg_vip *vip);
+/* Returns whether the node's tables include the virtual address: a node that
+ * is subscribed to one service gets only the addresses that target it. */
+bool RpDistribution_IsVipVisible(const struct rp_distribution *distribution,
+                                 const struct node *node,
+                                 const struct rp_msg_vip *vip);
 
-/* Adds all virtual addresses that the node sees. */
-void RpDistribution_AddVips(const struct rp_distribution *distribution,
-                            const struct node *node, GArray *vips);
+/* Appends the virtual addresses of the edition that are visible to the node
+ * to a list of struct rp_msg_vip. */
+void
+RpDistribution_AppendVisibleVips(const struct rp_distribution *distribution,
+                                 const struct node *node, GArray *vips);
 
-/* Compares the edition's virtual addresses with those sent so far; what
- * differs is pending. */
-void RpDistribution_ReviewVips(struct rp_distribution *distribution);
+/* Compares the edition's virtual addresses with those last sent, and adds
+ * the new, changed and removed ones to the pending changes. */
+void RpDistribution_DiffVips(struct rp_distribution *distribution);
 
-/* Whether two services share a virtual address: then flows of the one may
- * have been placed when their shares were different. */
-bool RpDistribution_AreSiblings(const struct rp_distribution *distribution,
-                                const struct rp_name *a,
-                                const struct rp_name *b);
+/* Returns whether two services share a virtual address. If they do, flows of
+ * one service may have been placed while the weights were different, and
+ * arrive at agents of the other. */
+bool RpDistribution_ShareVip(const struct rp_distribution *distribution,
+                             const struct rp_name *a, const struct rp_name *b);
 
-/* Whether the service shares a virtual address with any other. */
+/* Returns whether the service shares a virtual address with any other
+ * service. */
 bool RpDistribution_IsShared(const struct rp_distribution *distribution,
                              const struct rp_name *service);
 
--- a/lib/control/rp_distribution_vips.c
+++ b/lib/control/rp_distribution_vips.c
@@ -1,9 +1,9 @@
-/* Virtual addresses in tables: what nodes see of an edition, and what differs
- * from what they were sent. */
+/* Virtual addresses in tables: which of them a node gets, and which have
+ * changed since they were last sent. */
 #include "rp_distribution_internal.h"
 
 void
-RpDistribution_FreeText(gpointer data)
+RpDistribution_FreeString(gpointer data)
 {
     g_string_free(data, TRUE);
 }
@@ -18,10 +18,11 @@
     g_array_set_size(vips, 0);
 }
 
-/* A virtual address as nodes see it. */
+/* Converts a virtual address of the edition to its form in tables. Clear the
+ * result with RpSchema_Clear. */
 static struct rp_msg_vip
-make_vip(const struct rp_distribution *distribution,
-         const struct rp_edition_vip *from)
+make_table_vip(const struct rp_distribution *distribution,
+               const struct rp_edition_vip *from)
 {
     struct rp_msg_vip vip = {
         .address = from->address,
@@ -54,10 +55,10 @@
     return copy;
 }
 
-/* Whether a node with this subscription sees the virtual address. */
 bool
-RpDistribution_SeesVip(const struct rp_distribution *distribution,
-                       const struct node *node, const struct rp_msg_vip *vip)
+RpDistribution_IsVipVisible(const struct rp_distribution *distribution,
+                            const struct node *node,
+                            const struct rp_msg_vip *vip)
 {
     if (node->service.len == 0) {
         return true;
@@ -74,17 +75,17 @@
 }
 
 void
-RpDistribution_AddVips(const struct rp_distribution *distribution,
-                       const struct node *node, GArray *vips)
+RpDistribution_AppendVisibleVips(const struct rp_distribution *distribution,
+                                 const struct node *node, GArray *vips)
 {
     const struct rp_edition *edition = RpCatalog_Edition(
         distribution->catalog);
 
     for (guint i = 0; edition && i < edition->vips->len; i++) {
-        struct rp_msg_vip vip = make_vip(
+        struct rp_msg_vip vip = make_table_vip(
             distribution,
             &g_array_index(edition->vips, struct rp_edition_vip, i));
-        if (RpDistribution_SeesVip(distribution, node, &vip)) {
+        if (RpDistribution_IsVipVisible(distribution, node, &vip)) {
             g_array_append_val(vips, vip);
         }
         else {
@@ -93,51 +94,51 @@
     }
 }
 
-/* Compares the edition's virtual addresses with those sent so far; what
- * differs is pending. */
 void
-RpDistribution_ReviewVips(struct rp_distribution *distribution)
+RpDistribution_DiffVips(struct rp_distribution *distribution)
 {
     struct pending *pending = &distribution->pending;
     const struct rp_edition *edition = RpCatalog_Edition(
         distribution->catalog);
-    GHashTable *now = g_hash_table_new_full(g_int64_hash, g_int64_equal,
-                                            g_free, RpDistribution_FreeText);
+    GHashTable *current = g_hash_table_new_full(
+        g_int64_hash, g_int64_equal, g_free, RpDistribution_FreeString);
     GHashTableIter iter;
     gpointer key;
 
     for (guint i = 0; edition && i < edition->vips->len; i++) {
-        struct rp_msg_vip vip = make_vip(
+        struct rp_msg_vip vip = make_table_vip(
             distribution,
             &g_array_index(edition->vips, struct rp_edition_vip, i));
         guint64 address = RpEndpoint_Key(
             (struct rp_endpoint){.ip = vip.address, .port = vip.port});
         GString *bytes = RpSchema_Encode(&rp_msg_vip_schema, &vip);
-        const GString *old = g_hash_table_lookup(distribution->vips, &address);
-        if (old && g_string_equal(old, bytes)) {
+        const GString *previous = g_hash_table_lookup(distribution->sent_vips,
+                                                      &address);
+        if (previous && g_string_equal(previous, bytes)) {
             RpSchema_Clear(&rp_msg_vip_schema, &vip);
         }
         else {
             g_array_append_val(pending->vips, vip);
         }
-        g_hash_table_replace(now, g_memdup2(&address, sizeof address), bytes);
+        g_hash_table_replace(current, g_memdup2(&address, sizeof address),
+                             bytes);
     }
-    g_hash_table_iter_init(&iter, distribution->vips);
+    g_hash_table_iter_init(&iter, distribution->sent_vips);
     while (g_hash_table_iter_next(&iter, &key, NULL)) {
         guint64 address = *(const guint64 *)key;
         const struct rp_msg_removed_vip row = {
             .address = (uint32_t)(address >> 16), .port = (uint16_t)address};
-        if (!g_hash_table_contains(now, key)) {
+        if (!g_hash_table_contains(current, key)) {
             g_array_append_val(pending->removed_vips, row);
         }
     }
-    g_hash_table_destroy(distribution->vips);
-    distribution->vips = now;
-    distribution->vips_known = true;
+    g_hash_table_destroy(distribution->sent_vips);
+    distribution->sent_vips = current;
+    distribution->sent_vips_filled = true;
 }
 
 static bool
-leads_to(const struct rp_edition_vip *vip, const struct rp_name *service)
+has_target(const struct rp_edition_vip *vip, const struct rp_name *service)
 {
     for (guint i = 0; i < vip->targets->len; i++) {
         const struct rp_edition_target *target = &g_array_index(
@@ -149,11 +150,9 @@
     return false;
 }
 
-/* Whether two services share a virtual address: then flows of the one may
- * have been placed when their shares were different. */
 bool
-RpDistribution_AreSiblings(const struct rp_distribution *distribution,
-                           const struct rp_name *a, const struct rp_name *b)
+RpDistribution_ShareVip(const struct rp_distribution *distribution,
+                        const struct rp_name *a, const struct rp_name *b)
 {
     const struct rp_edition *edition = RpCatalog_Edition(
         distribution->catalog);
@@ -161,15 +160,14 @@
     for (guint i = 0; edition && i < edition->vips->len; i++) {
         const struct rp_edition_vip *vip = &g_array_index(
             edition->vips, struct rp_edition_vip, i);
-        if (vip->targets->len > 1 && leads_to(vip, a) && leads_to(vip, b)) {
+        if (vip->targets->len > 1 && has_target(vip, a) &&
+            has_target(vip, b)) {
             return true;
         }
     }
     return false;
 }
 
-/* Whether the service shares a virtual address: agents of others may see it
- * only since this edition. */
 bool
 RpDistribution_IsShared(const struct rp_distribution *distribution,
                         const struct rp_name *service)
@@ -180,7 +178,7 @@
     for (guint i = 0; edition && i < edition->vips->len; i++) {
         const struct rp_edition_vip *vip = &g_array_index(
             edition->vips, struct rp_edition_vip, i);
-        if (vip->targets->len > 1 && leads_to(vip, service)) {
+        if (vip->targets->len > 1 && has_target(vip, service)) {
             return true;
         }
     }
--- a/tests/unit/test_distribution.c
+++ b/tests/unit/test_distribution.c
@@ -1,5 +1,5 @@
-/* Distribution: who is sent what, and who is not. Also seeded mutations of
- * documents, commands, snapshots and journal files. */
+/* Tests of the distribution: which node is sent which table. Also mutates
+ * documents, commands, snapshots and journal files, with fixed seeds. */
 #include <glib.h>
 #include <glib/gstdio.h>
 #include <string.h>
@@ -11,17 +11,18 @@
 #define LENS "[service]\nname = lens-desk\naddress = 10.80.0.1:7000\n"
 #define SHELF "[service]\nname = photo-shelf\naddress = 10.80.0.2:7000\n"
 
-/* What was sent, as text: one "connection:kind services removed rN" each. */
 struct fixture {
     struct rp_catalog *catalog;
     struct rp_registry *registry;
     struct rp_distribution *distribution;
+    /* The messages that were sent, each as
+     * "connection:kind services-removed rREVISION;". */
     GString *sent;
-    uint8_t next_id;
+    uint8_t last_change_id;
 };
 
 static void
-note_sent(void *user, uint64_t connection, const struct rp_msg *msg)
+record_message(void *user, uint64_t connection, const struct rp_msg *msg)
 {
     struct fixture *fixture = user;
     const struct rp_msg_table *table = &msg->table;
@@ -30,7 +31,7 @@
     g_string_append_printf(
         fixture->sent,
         "%" G_GUINT64_FORMAT ":%s %u-%u r%" G_GUINT64_FORMAT ";", connection,
-        table->complete ? "whole" : "change", table->services->len,
+        table->complete ? "full" : "update", table->services->len,
         table->removed->len, table->revision);
 }
 
@@ -42,7 +43,7 @@
     fixture->catalog = RpCatalog_Create();
     fixture->registry = RpRegistry_Create();
     fixture->distribution = RpDistribution_Create(
-        fixture->catalog, fixture->registry, note_sent, fixture);
+        fixture->catalog, fixture->registry, record_message, fixture);
     fixture->sent = g_string_new(NULL);
     *state = fixture;
     return 0;
@@ -61,12 +62,13 @@
     return 0;
 }
 
-/* Applies a document (or deletes `name`) and tells the distribution. */
+/* Applies a document, or deletes the service `name` if `document` is NULL, and
+ * tells the distribution. */
 static void
-change(struct fixture *fixture, int64_t now, const char *document,
-       const char *name)
+apply_change(struct fixture *fixture, int64_t now, const char *document,
+             const char *name)
 {
-    struct rp_msg_change request = {.id = {++fixture->next_id},
+    struct rp_msg_change request = {.id = {++fixture->last_change_id},
                                     .kind = document ? RP_CHANGE_APPLY
                                                      : RP_CHANGE_DELETE};
     struct rp_msg_change_reply reply = {0};
@@ -96,12 +98,12 @@
              uint64_t revision)
 {
     struct rp_msg_hello hello = {.role = (uint8_t)role};
-    struct rp_msg_subscribe wish = {.revision = revision};
+    struct rp_msg_subscribe subscription = {.revision = revision};
 
     RpName_Set(&hello.name, RpStr_FromC(node));
-    RpName_Set(&wish.service, RpStr_FromC(service));
+    RpName_Set(&subscription.service, RpStr_FromC(service));
     RpDistribution_Subscribe(fixture->distribution, now, connection, &hello,
-                             &wish);
+                             &subscription);
 }
 
 static void
@@ -112,7 +114,7 @@
                  revision);
 }
 
-/* What is sent by the flush at `now`. */
+/* Flushes at `now` and compares the messages that are sent. */
 static void
 assert_flush(struct fixture *fixture, int64_t now, const char *expected)
 {
@@ -129,22 +131,23 @@
     int64_t batch = RP_TABLE_BATCH_US;
 
     RpDistribution_SetFresh(distribution, 0, true);
-    change(fixture, 0, LENS, "");
+    apply_change(fixture, 0, LENS, "");
     subscribe(fixture, 0, 1, "balancer-1", "", 0);
-    assert_flush(fixture, 0, "1:whole 1-0 r1;");
-    /* Several changes within the batch time are one message. */
-    change(fixture, 1, SHELF, "");
-    change(fixture, 2, LENS "# again\n", "");
+    assert_flush(fixture, 0, "1:full 1-0 r1;");
+    /* Several changes within the batch time are sent as one message. */
+    apply_change(fixture, 1, SHELF, "");
+    apply_change(fixture, 2, LENS "# again\n", "");
     assert_flush(fixture, 2, "");
-    assert_flush(fixture, batch + 1, "1:change 2-0 r3;");
-    /* A node of one service hears of the others only by revision. */
+    assert_flush(fixture, batch + 1, "1:update 2-0 r3;");
+    /* A node that is subscribed to one service gets an empty update when
+     * another service changes, because the revision changes. */
     subscribe(fixture, batch + 2, 2, "agent-1", "lens-desk", 0);
-    assert_flush(fixture, batch + 2, "2:whole 1-0 r3;");
-    change(fixture, batch + 3, NULL, "photo-shelf");
+    assert_flush(fixture, batch + 2, "2:full 1-0 r3;");
+    apply_change(fixture, batch + 3, NULL, "photo-shelf");
     g_string_truncate(fixture->sent, 0);
     RpDistribution_Flush(distribution, 2 * batch + 3);
-    assert_non_null(strstr(fixture->sent->str, "1:change 0-1 r4;"));
-    assert_non_null(strstr(fixture->sent->str, "2:change 0-0 r4;"));
+    assert_non_null(strstr(fixture->sent->str, "1:update 0-1 r4;"));
+    assert_non_null(strstr(fixture->sent->str, "2:update 0-0 r4;"));
 }
 
 static void
@@ -154,7 +157,7 @@
     struct rp_distribution *distribution = fixture->distribution;
 
     RpDistribution_SetFresh(distribution, 0, true);
-    change(fixture, 0, LENS, "");
+    apply_change(fixture, 0, LENS, "");
     subscribe(fixture, 0, 1, "balancer-1", "", 0);
     subscribe(fixture, 0, 2, "balancer-2", "", 0);
     RpDistribution_Flush(distribution, 0);
@@ -163,12 +166,12 @@
     assert_int_equal(RpDistribution_LowestConfirmed(distribution), 0);
     RpDistribution_Confirm(distribution, 1, 2, 1);
     assert_int_equal(RpDistribution_LowestConfirmed(distribution), 1);
-    /* An older confirmation that comes late takes nothing back. */
+    /* A late confirmation of an older revision is ignored. */
     RpDistribution_Confirm(distribution, 1, 2, 0);
     assert_int_equal(RpDistribution_LowestConfirmed(distribution), 1);
-    /* A node that is away does not hold an address back for ever, but it
-     * is still listed. */
-    change(fixture, 2, SHELF, "");
+    /* A disconnected node does not count towards the lowest confirmed
+     * revision, which ends quarantines, but it is still listed. */
+    apply_change(fixture, 2, SHELF, "");
     RpDistribution_Confirm(distribution, 3, 1, 2);
     RpDistribution_Disconnect(distribution, 3, 2);
     assert_int_equal(RpDistribution_LowestConfirmed(distribution), 2);
@@ -177,24 +180,25 @@
     g_array_free(nodes, TRUE);
 }
 
-/* Who gets a first table from a replica that is not fresh, or older. */
+/* Which nodes get a full table from a replica that is not fresh, or whose
+ * revision is older than the node's. */
 static void
 test_first_tables(void **state)
 {
     static const struct {
         bool fresh;
         enum rp_role role;
-        uint64_t runs; /* the revision that the node runs; 0: none */
+        uint64_t confirmed; /* revision that the node runs; 0: none */
         const char *sent;
     } cases[] = {
-        {true, RP_ROLE_BALANCER, 0, "1:whole 1-0 r1;"},
-        {true, RP_ROLE_BALANCER, 1, "1:whole 1-0 r1;"},
-        {true, RP_ROLE_BALANCER, 9, ""}, /* the replica is behind it */
+        {true, RP_ROLE_BALANCER, 0, "1:full 1-0 r1;"},
+        {true, RP_ROLE_BALANCER, 1, "1:full 1-0 r1;"},
+        {true, RP_ROLE_BALANCER, 9, ""}, /* the replica is behind */
         {false, RP_ROLE_BALANCER, 0, ""},
-        {false, RP_ROLE_BALANCER, 1, "1:whole 1-0 r1;"},
+        {false, RP_ROLE_BALANCER, 1, "1:full 1-0 r1;"},
         {false, RP_ROLE_BALANCER, 9, ""},
-        /* An agent that was replaced has flows to serve. */
-        {false, RP_ROLE_AGENT, 0, "1:whole 1-0 r1;"},
+        /* A replaced agent must serve its host's open flows. */
+        {false, RP_ROLE_AGENT, 0, "1:full 1-0 r1;"},
         {false, RP_ROLE_AGENT, 9, ""},
     };
 
@@ -202,33 +206,35 @@
         tear_down(state);
         set_up(state);
         struct fixture *fixture = *state;
-        change(fixture, 0, LENS, "");
+        apply_change(fixture, 0, LENS, "");
         RpDistribution_SetFresh(fixture->distribution, 0, cases[i].fresh);
-        subscribe_as(fixture, 0, 1, cases[i].role, "node", "", cases[i].runs);
+        subscribe_as(fixture, 0, 1, cases[i].role, "node", "",
+                     cases[i].confirmed);
         assert_flush(fixture, 0, cases[i].sent);
-        /* What was held back is sent once the replica is fresh. */
+        /* A withheld table is sent once the replica is fresh. */
         RpDistribution_SetFresh(fixture->distribution, 1, true);
-        bool late = cases[i].sent[0] == '\0' && cases[i].runs == 0;
-        assert_flush(fixture, 1, late ? "1:whole 1-0 r1;" : "");
+        bool late = cases[i].sent[0] == '\0' && cases[i].confirmed == 0;
+        assert_flush(fixture, 1, late ? "1:full 1-0 r1;" : "");
     }
 }
 
 static GString *
-mutate(const GString *good, GRand *dice)
+mutate_bytes(const GString *original, GRand *rng)
 {
-    GString *bad = g_string_new_len(good->str, (gssize)good->len);
-    int changes = g_rand_int_range(dice, 1, 5);
+    GString *mutated = g_string_new_len(original->str, (gssize)original->len);
+    int changes = g_rand_int_range(rng, 1, 5);
 
     for (int i = 0; i < changes; i++) {
-        gint32 place = g_rand_int_range(dice, 0, (gint32)bad->len);
-        bad->str[place] = (char)g_rand_int_range(dice, 0, 256);
+        gint32 place = g_rand_int_range(rng, 0, (gint32)mutated->len);
+        mutated->str[place] = (char)g_rand_int_range(rng, 0, 256);
     }
-    g_string_truncate(bad,
-                      (gsize)g_rand_int_range(dice, 1, (gint32)bad->len + 1));
-    return bad;
+    g_string_truncate(
+        mutated, (gsize)g_rand_int_range(rng, 1, (gint32)mutated->len + 1));
+    return mutated;
 }
 
-/* Decoders of what comes from teams, peers and disks survive anything. */
+/* The parsers and decoders of documents, commands, snapshots and journal files
+ * must not crash on damaged input. */
 static void
 test_mutations(void **state)
 {
@@ -241,8 +247,8 @@
     gchar *content;
     gsize len;
 
-    change(fixture, 0, LENS, "");
-    change(fixture, 0, SHELF, "");
+    apply_change(fixture, 0, LENS, "");
+    apply_change(fixture, 0, SHELF, "");
     GString *snapshot = RpCatalog_Snapshot(fixture->catalog);
     RpJournal_Append(journal, &record);
     RpJournal_Append(journal, &record);
@@ -252,28 +258,31 @@
     GString *stored = g_string_new_len(content, (gssize)len);
 
     for (guint32 seed = 0; seed < 2000; seed++) {
-        GRand *dice = g_rand_new_with_seed(seed);
-        GString *bad = mutate(document, dice);
+        GRand *rng = g_rand_new_with_seed(seed);
+        GString *mutated = mutate_bytes(document, rng);
         struct rp_document parsed;
         struct rp_error error;
         RpError_Init(&error);
-        RpDocument_Parse((struct rp_str){bad->str, bad->len}, &parsed, &error);
+        RpDocument_Parse((struct rp_str){mutated->str, mutated->len}, &parsed,
+                         &error);
         RpError_Clear(&error);
-        g_string_free(bad, TRUE);
+        g_string_free(mutated, TRUE);
 
-        bad = mutate(snapshot, dice);
+        mutated = mutate_bytes(snapshot, rng);
         struct rp_catalog *catalog = RpCatalog_Create();
-        RpCatalog_Restore(catalog, (struct rp_str){bad->str, bad->len});
-        RpCatalog_Apply(catalog, (struct rp_str){bad->str, bad->len}, NULL);
+        RpCatalog_Restore(catalog,
+                          (struct rp_str){mutated->str, mutated->len});
+        RpCatalog_Apply(catalog, (struct rp_str){mutated->str, mutated->len},
+                        NULL);
         RpCatalog_Free(catalog);
-        g_string_free(bad, TRUE);
+        g_string_free(mutated, TRUE);
 
-        bad = mutate(stored, dice);
+        mutated = mutate_bytes(stored, rng);
         struct rp_journal_report report;
-        g_file_set_contents(file, bad->str, (gssize)bad->len, NULL);
+        g_file_set_contents(file, mutated->str, (gssize)mutated->len, NULL);
         RpJournal_Check(folder, &report, NULL);
-        g_string_free(bad, TRUE);
-        g_rand_free(dice);
+        g_string_free(mutated, TRUE);
+        g_rand_free(rng);
     }
     g_string_free(document, TRUE);
     g_string_free(snapshot, TRUE);
