--- a/lib/control/rp_registry.c
+++ b/lib/control/rp_registry.c
@@ -1,3 +1,4 @@
+/* Merging of announcements, and expiry of leases. */
 #include "rp_registry.h"
 
 #include <string.h>
@@ -5,8 +6,8 @@
 struct rp_registry {
     GHashTable *upstreams;  /* name -> struct rp_upstream */
     GHashTable *by_service; /* name -> GPtrArray of struct rp_upstream */
-    GHashTable *replicas;   /* name -> int64_t, when it was last heard */
-    int64_t next_deadline;  /* nothing is over before this */
+    GHashTable *replicas;   /* name -> int64_t, time of its last message */
+    int64_t next_deadline;  /* no upstream expires before this */
     bool cut_off;
 };
 
@@ -49,7 +50,7 @@
 }
 
 static int
-compare_name(const struct rp_name *a, const struct rp_name *b)
+compare_names(const struct rp_name *a, const struct rp_name *b)
 {
     return memcmp(a->data, b->data, sizeof a->data);
 }
@@ -68,8 +69,8 @@
         compare_u64(a->lease_ms, b->lease_ms),
         compare_u64(a->flows, b->flows),
         compare_u64(a->busy, b->busy),
-        compare_name(&a->service, &b->service),
-        compare_name(&a->zone, &b->zone),
+        compare_names(&a->service, &b->service),
+        compare_names(&a->zone, &b->zone),
     };
 
     for (size_t i = 0; i < G_N_ELEMENTS(order); i++) {
@@ -80,32 +81,34 @@
     return 0;
 }
 
-/* Only a replica can say that an upstream is lost. */
+/* Returns whether an announcement's members are in range. Only a replica may
+ * report that an upstream is lost. */
 static bool
-is_acceptable(const struct rp_msg_announce *news, bool from_replica)
+is_valid(const struct rp_msg_announce *announce, bool from_replica)
 {
-    return RpName_IsLabel(RpName_View(&news->upstream)) &&
-           RpName_IsLabel(RpName_View(&news->service)) &&
-           news->agent_port != 0 && news->slots != 0 &&
-           (news->state == RP_UPSTREAM_READY ||
-            news->state == RP_UPSTREAM_DRAINING ||
-            (news->state == RP_UPSTREAM_LOST && from_replica) ||
-            news->state == RP_UPSTREAM_GONE) &&
-           news->lease_ms >= RP_LEASE_MIN_MS &&
-           news->lease_ms <= RP_LEASE_MAX_MS;
+    return RpName_IsLabel(RpName_View(&announce->upstream)) &&
+           RpName_IsLabel(RpName_View(&announce->service)) &&
+           announce->agent_port != 0 && announce->slots != 0 &&
+           (announce->state == RP_UPSTREAM_READY ||
+            announce->state == RP_UPSTREAM_DRAINING ||
+            (announce->state == RP_UPSTREAM_LOST && from_replica) ||
+            announce->state == RP_UPSTREAM_GONE) &&
+           announce->lease_ms >= RP_LEASE_MIN_MS &&
+           announce->lease_ms <= RP_LEASE_MAX_MS;
 }
 
-/* Whether tables show a difference between the two. */
+/* Returns whether the announcement changes a value that tables contain. */
 static bool
-shows(const struct rp_upstream *known, const struct rp_msg_announce *news)
+changes_table(const struct rp_upstream *known,
+              const struct rp_msg_announce *announce)
 {
     const struct rp_msg_announce *last = &known->last;
 
-    return known->state != (enum rp_upstream_state)news->state ||
-           last->agent_ip != news->agent_ip ||
-           last->agent_port != news->agent_port ||
-           last->slots != news->slots ||
-           !RpName_Equal(&last->service, &news->service);
+    return known->state != (enum rp_upstream_state)announce->state ||
+           last->agent_ip != announce->agent_ip ||
+           last->agent_port != announce->agent_port ||
+           last->slots != announce->slots ||
+           !RpName_Equal(&last->service, &announce->service);
 }
 
 static void
@@ -134,46 +137,50 @@
     }
 }
 
+/* Replaces the upstream's announcement and keeps the service index. */
 static void
-store(struct rp_registry *registry, struct rp_upstream *upstream,
-      const struct rp_msg_announce *news)
+store_announce(struct rp_registry *registry, struct rp_upstream *upstream,
+               const struct rp_msg_announce *announce)
 {
-    bool moves = upstream->last.service.len == 0 ||
-                 !RpName_Equal(&upstream->last.service, &news->service);
+    bool service_changed = upstream->last.service.len == 0 ||
+                           !RpName_Equal(&upstream->last.service,
+                                         &announce->service);
 
-    if (moves && upstream->last.service.len) {
+    if (service_changed && upstream->last.service.len) {
         unindex_upstream(registry, upstream);
     }
-    upstream->last = *news;
-    if (moves) {
+    upstream->last = *announce;
+    if (service_changed) {
         index_upstream(registry, upstream);
     }
 }
 
 static struct rp_upstream *
-insert(struct rp_registry *registry, const struct rp_msg_announce *news)
+add_upstream(struct rp_registry *registry,
+             const struct rp_msg_announce *announce)
 {
     struct rp_upstream *upstream = g_new0(struct rp_upstream, 1);
 
-    store(registry, upstream, news);
+    store_announce(registry, upstream, announce);
     g_hash_table_insert(registry->upstreams, &upstream->last.upstream,
                         upstream);
     return upstream;
 }
 
 static bool
-is_leased(const struct rp_upstream *upstream)
+has_lease(const struct rp_upstream *upstream)
 {
     return upstream->state == RP_UPSTREAM_READY ||
            upstream->state == RP_UPSTREAM_DRAINING;
 }
 
-/* When something about this entry is over. */
+/* Returns when the upstream must be marked LOST, or be removed if it is LOST
+ * or GONE. */
 static int64_t
-deadline_of(const struct rp_registry *registry,
-            const struct rp_upstream *upstream)
+upstream_deadline(const struct rp_registry *registry,
+                  const struct rp_upstream *upstream)
 {
-    if (!is_leased(upstream)) {
+    if (!has_lease(upstream)) {
         return upstream->drop_deadline;
     }
     if (upstream->via.len == 0) {
@@ -182,39 +189,42 @@
     if (registry->cut_off) {
         return RP_NEVER;
     }
-    const int64_t *seen = g_hash_table_lookup(registry->replicas,
-                                              &upstream->via);
-    return (seen ? *seen : 0) + RP_REGISTRY_MOVE_US;
+    const int64_t *last_message = g_hash_table_lookup(registry->replicas,
+                                                      &upstream->via);
+    return (last_message ? *last_message : 0) + RP_REGISTRY_MOVE_US;
 }
 
 enum rp_registry_change
 RpRegistry_Merge(struct rp_registry *registry, int64_t now,
-                 const struct rp_msg_announce *news, const struct rp_name *via)
+                 const struct rp_msg_announce *announce,
+                 const struct rp_name *via)
 {
     struct rp_upstream *known = g_hash_table_lookup(registry->upstreams,
-                                                    &news->upstream);
+                                                    &announce->upstream);
     bool changed = true;
 
-    if (!is_acceptable(news, via != NULL)) {
+    if (!is_valid(announce, via != NULL)) {
         return RP_REGISTRY_REFUSED;
     }
     if (!known && g_hash_table_size(registry->upstreams) >= RP_REGISTRY_MAX) {
         return RP_REGISTRY_REFUSED;
     }
     if (known) {
-        if (RpAnnounce_Compare(news, &known->last) <= 0) {
+        if (RpAnnounce_Compare(announce, &known->last) <= 0) {
             return RP_REGISTRY_STALE;
         }
-        /* That another replica hears it now is news to the others, too. */
-        changed = shows(known, news) || (!via && known->via.len > 0);
-        store(registry, known, news);
+        /* The other replicas must also learn that the agent is now connected
+         * to this replica. */
+        changed = changes_table(known, announce) ||
+                  (!via && known->via.len > 0);
+        store_announce(registry, known, announce);
     }
     else {
-        known = insert(registry, news);
+        known = add_upstream(registry, announce);
     }
-    known->state = (enum rp_upstream_state)news->state;
+    known->state = (enum rp_upstream_state)announce->state;
     known->via = via ? *via : (struct rp_name){0};
-    known->lease_deadline = now + news->lease_ms * RP_US_PER_MS;
+    known->lease_deadline = now + announce->lease_ms * RP_US_PER_MS;
     known->drop_deadline = RP_NEVER;
     if (known->state == RP_UPSTREAM_GONE) {
         known->drop_deadline = known->lease_deadline;
@@ -226,7 +236,7 @@
         RpRegistry_ReplicaSeen(registry, now, via);
     }
     registry->next_deadline = MIN(registry->next_deadline,
-                                  deadline_of(registry, known));
+                                  upstream_deadline(registry, known));
     return changed ? RP_REGISTRY_CHANGED : RP_REGISTRY_RENEWED;
 }
 
@@ -234,14 +244,14 @@
 RpRegistry_ReplicaSeen(struct rp_registry *registry, int64_t now,
                        const struct rp_name *replica)
 {
-    int64_t *seen = g_hash_table_lookup(registry->replicas, replica);
+    int64_t *last_message = g_hash_table_lookup(registry->replicas, replica);
 
-    if (!seen) {
-        seen = g_new(int64_t, 1);
+    if (!last_message) {
+        last_message = g_new(int64_t, 1);
         g_hash_table_insert(registry->replicas,
-                            g_memdup2(replica, sizeof *replica), seen);
+                            g_memdup2(replica, sizeof *replica), last_message);
     }
-    *seen = now;
+    *last_message = now;
 }
 
 void
@@ -257,14 +267,15 @@
     registry->next_deadline = now;
     g_hash_table_iter_init(&iter, registry->replicas);
     while (!cut_off && g_hash_table_iter_next(&iter, NULL, &value)) {
-        /* Together again: each has its time to be heard. */
+        /* After the partition, each replica gets RP_REGISTRY_MOVE_US to send
+         * a message before its upstreams expire. */
         *(int64_t *)value = now;
     }
 }
 
 static void
-drop(struct rp_registry *registry, struct rp_upstream *upstream,
-     GHashTableIter *iter)
+remove_upstream(struct rp_registry *registry, struct rp_upstream *upstream,
+                GHashTableIter *iter)
 {
     unindex_upstream(registry, upstream);
     g_hash_table_iter_remove(iter);
@@ -272,7 +283,7 @@
 
 bool
 RpRegistry_Expire(struct rp_registry *registry, int64_t now,
-                  struct rp_msg_announce *over)
+                  struct rp_msg_announce *expired)
 {
     GHashTableIter iter;
     gpointer value;
@@ -284,18 +295,18 @@
     g_hash_table_iter_init(&iter, registry->upstreams);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         struct rp_upstream *upstream = value;
-        int64_t deadline = deadline_of(registry, upstream);
+        int64_t deadline = upstream_deadline(registry, upstream);
         if (deadline > now) {
             next = MIN(next, deadline);
             continue;
         }
-        *over = upstream->last;
-        if (!is_leased(upstream)) {
-            over->state = RP_UPSTREAM_GONE;
-            drop(registry, upstream, &iter);
+        *expired = upstream->last;
+        if (!has_lease(upstream)) {
+            expired->state = RP_UPSTREAM_GONE;
+            remove_upstream(registry, upstream, &iter);
             return true;
         }
-        over->state = RP_UPSTREAM_LOST;
+        expired->state = RP_UPSTREAM_LOST;
         upstream->last.state = RP_UPSTREAM_LOST;
         upstream->state = RP_UPSTREAM_LOST;
         upstream->drop_deadline = now + RP_REGISTRY_LOST_KEEP_US;
--- a/lib/control/rp_registry.h
+++ b/lib/control/rp_registry.h
@@ -1,16 +1,20 @@
-/* The registry: which upstreams have announced themselves.
+/* The registry of the upstreams that agents have announced.
  *
- * Announcements are soft state. Each replica keeps the newest one of each
- * upstream by the total order (incarnation, sequence, state, bytes), so
- * merging is commutative, associative and idempotent and needs no leader.
+ * Announcements are soft state: they are not in the replicated log. Each
+ * replica keeps the newest announcement of each upstream. RpAnnounce_Compare
+ * defines a total order, so merging announcements is commutative,
+ * associative and idempotent and needs no leader.
  *
- * An upstream is heard by the one replica that its agent is connected to;
- * there its lease must be renewed. The other replicas are told only what
- * changes: for them it is there as long as that replica is heard and does
- * not say that the lease is over. So renewals cost nothing between replicas.
+ * An agent is connected to one replica, and renews the lease of its upstream
+ * there. That replica forwards only changes to the other replicas. They keep
+ * the upstream as long as they receive messages from that replica and it does
+ * not report the lease as expired. So renewals cause no traffic between
+ * replicas.
  *
- * An upstream out of lease is LOST and dropped after
+ * An upstream whose lease has expired is LOST, and is removed after
  * RP_REGISTRY_LOST_KEEP_US.
+ *
+ * All times are microseconds on one monotonic clock.
  */
 #ifndef RP_REGISTRY_H
 #define RP_REGISTRY_H
@@ -22,27 +26,29 @@
 
 #define RP_LEASE_MIN_MS 500
 #define RP_LEASE_MAX_MS 60000
-/* How long flows may still be looked for at a lost upstream. */
+/* How long a lost upstream stays listed, so that its agent can still be asked
+ * for its open flows. */
 #define RP_REGISTRY_LOST_KEEP_US (600 * RP_US_PER_SECOND)
 #define RP_REGISTRY_MAX 65536 /* upstreams */
-/* How long the upstreams of a replica that is not heard any more may take
- * to be heard by another one. */
+/* How long after the last message from a replica its upstreams stay valid, so
+ * that their agents can connect to another replica and announce them. */
 #define RP_REGISTRY_MOVE_US (10 * RP_US_PER_SECOND)
 
 /* One upstream. */
 struct rp_upstream {
     struct rp_msg_announce last;
-    enum rp_upstream_state state; /* LOST once the lease is over */
+    enum rp_upstream_state state; /* LOST once the lease has expired */
     int64_t lease_deadline;
-    int64_t drop_deadline; /* of a lost one */
-    struct rp_name via;    /* replica that hears it; empty: this one */
+    int64_t drop_deadline; /* when a LOST or GONE upstream is removed */
+    struct rp_name via;    /* replica that its agent is connected to; empty:
+                              this replica */
 };
 
 enum rp_registry_change {
-    RP_REGISTRY_STALE,   /* older than what is known: not taken */
-    RP_REGISTRY_RENEWED, /* taken; nothing that a table shows changed */
-    RP_REGISTRY_CHANGED, /* taken; tables must change */
-    RP_REGISTRY_REFUSED  /* not acceptable, or the registry is full */
+    RP_REGISTRY_STALE,   /* ignored: not newer than the known announcement */
+    RP_REGISTRY_RENEWED, /* stored; nothing that tables contain changed */
+    RP_REGISTRY_CHANGED, /* stored; tables or other replicas need an update */
+    RP_REGISTRY_REFUSED  /* ignored: invalid, or the registry is full */
 };
 
 struct rp_registry;
@@ -51,38 +57,44 @@
 
 void RpRegistry_Free(struct rp_registry *registry);
 
-/* Merges an announcement; `via` is the replica that passed it on, or NULL
- * if it came from the agent itself. */
-enum rp_registry_change RpRegistry_Merge(struct rp_registry *registry,
-                                         int64_t now,
-                                         const struct rp_msg_announce *news,
-                                         const struct rp_name *via);
+/* Merges an announcement. `via` is the replica that forwarded it, or NULL if
+ * it came from the agent itself. */
+enum rp_registry_change
+RpRegistry_Merge(struct rp_registry *registry, int64_t now,
+                 const struct rp_msg_announce *announce,
+                 const struct rp_name *via);
 
-/* Another replica was heard: what it vouches for goes on. */
+/* Records a message from another replica, which keeps the upstreams that it
+ * forwarded valid. */
 void RpRegistry_ReplicaSeen(struct rp_registry *registry, int64_t now,
                             const struct rp_name *replica);
 
-/* Says whether this replica hears the others. While it is cut off, what it
- * knows through others stays as it is: their silence says nothing. */
+/* Sets whether this replica is cut off from the majority of replicas. While
+ * it is, upstreams that other replicas forwarded do not expire, because
+ * missing messages then do not mean that the upstreams are gone. */
 void RpRegistry_SetCutOff(struct rp_registry *registry, int64_t now,
                           bool cut_off);
 
-/* Handles at most one lease or entry whose time is over. `*over` gets its
- * last announcement, with state LOST when its lease ended and GONE when it
- * was dropped. Call it until it returns false. */
+/* Handles at most one upstream whose deadline has passed and returns true if
+ * there was one. `*expired` receives its last announcement, with state LOST
+ * if its lease expired and GONE if it was removed. Call it until it returns
+ * false. */
 bool RpRegistry_Expire(struct rp_registry *registry, int64_t now,
-                       struct rp_msg_announce *over);
+                       struct rp_msg_announce *expired);
 
-/* An upstream by name, or NULL. */
+/* Returns the upstream with this name, or NULL. The registry owns it. */
 const struct rp_upstream *RpRegistry_Find(const struct rp_registry *registry,
                                           const struct rp_name *upstream);
 
-/* The upstreams of a service (all if `service` is NULL), ordered by name;
- * free with g_ptr_array_unref. */
+/* Lists the upstreams of a service, or all if `service` is NULL, ordered by
+ * name. The registry owns the elements; free the array with
+ * g_ptr_array_unref. */
 GPtrArray *RpRegistry_List(const struct rp_registry *registry,
                            const struct rp_name *service);
 
-/* Total order of two announcements of one upstream: below, at or above 0. */
+/* Compares two announcements of one upstream by incarnation, then sequence,
+ * then state, then the remaining members. Returns a value below 0, 0, or
+ * above 0 if `a` is older than, equal to, or newer than `b`. */
 int RpAnnounce_Compare(const struct rp_msg_announce *a,
                        const struct rp_msg_announce *b);
 
