--- a/lib/control/rp_catalog.c
+++ b/lib/control/rp_catalog.c
@@ -1,3 +1,4 @@
+/* The catalogue: encoding and applying of commands, and queries. */
 #include "rp_catalog.h"
 
 #include <string.h>
@@ -22,7 +23,7 @@
 }
 
 static guint
-id_hash(gconstpointer key)
+hash_change_id(gconstpointer key)
 {
     guint hash;
 
@@ -31,7 +32,7 @@
 }
 
 static gboolean
-id_equal(gconstpointer a, gconstpointer b)
+equal_change_ids(gconstpointer a, gconstpointer b)
 {
     return !memcmp(a, b, RP_CHANGE_ID_SIZE);
 }
@@ -44,7 +45,7 @@
     catalog->next_id = 1;
     catalog->entries = g_hash_table_new_full(RpName_Hash, RpName_EqualKeys,
                                              NULL, free_entry);
-    catalog->answers = g_hash_table_new(id_hash, id_equal);
+    catalog->answers = g_hash_table_new(hash_change_id, equal_change_ids);
     catalog->quarantine = g_array_new(FALSE, TRUE,
                                       sizeof(struct rp_quarantine));
     g_queue_init(&catalog->answer_order);
@@ -87,7 +88,7 @@
     g_free(catalog);
 }
 
-/* A command is its kind and its body. */
+/* A command is one byte with its kind, followed by its body. */
 static GString *
 encode_command(enum command_kind kind, const void *body, size_t len)
 {
@@ -134,13 +135,13 @@
 }
 
 void
-RpCatalog_Remember(struct rp_catalog *catalog,
-                   const struct rp_catalog_answer *answer)
+RpCatalog_StoreAnswer(struct rp_catalog *catalog,
+                      const struct rp_catalog_answer *answer)
 {
-    struct rp_catalog_answer *kept = g_memdup2(answer, sizeof *answer);
+    struct rp_catalog_answer *copy = g_memdup2(answer, sizeof *answer);
 
-    g_queue_push_tail(&catalog->answer_order, kept);
-    g_hash_table_replace(catalog->answers, kept->id, kept);
+    g_queue_push_tail(&catalog->answer_order, copy);
+    g_hash_table_replace(catalog->answers, copy->id, copy);
     while (g_queue_get_length(&catalog->answer_order) >
            RP_CATALOG_CHANGE_MEMORY) {
         struct rp_catalog_answer *oldest = g_queue_pop_head(
@@ -196,10 +197,12 @@
     }
 }
 
-/* Whether another service has the address, or gave it up lately. */
+/* Adds a finding if another service uses the document's address, or has used
+ * it and the address is still quarantined. */
 static enum rp_code
-check_address(const struct rp_catalog *catalog,
-              const struct rp_document *document, struct rp_error *error)
+check_address_available(const struct rp_catalog *catalog,
+                        const struct rp_document *document,
+                        struct rp_error *error)
 {
     gchar *place = g_strdup_printf("line %u", document->address_line);
     enum rp_code code = RP_OK;
@@ -213,7 +216,7 @@
             !RpName_Equal(&entry->name, &document->name) &&
             RpEndpoint_Equal(entry->document.address, document->address)) {
             code = RpError_Add(error, RP_ERR_DOCUMENT, place,
-                               "address is taken by service %s",
+                               "address is already used by service %s",
                                entry->name.data);
         }
     }
@@ -224,9 +227,11 @@
             row->port == document->address.port &&
             !RpName_Equal(&row->service, &document->name)) {
             code = RpError_Add(error, RP_ERR_DOCUMENT, place,
-                               "address was just released by service %s and "
-                               "is not yet free everywhere: try again",
-                               row->service.data);
+                               "address was used by service %s until "
+                               "revision %" G_GUINT64_FORMAT
+                               " and some nodes may still use it: try again "
+                               "later",
+                               row->service.data, row->revision);
         }
     }
     g_free(place);
@@ -244,10 +249,11 @@
     g_array_append_val(catalog->quarantine, row);
 }
 
-/* Stores an accepted document under the next revision. */
+/* Adds or replaces a service, at the next revision. A changed address starts a
+ * new incarnation and quarantines the previous address. */
 static void
-put_entry(struct rp_catalog *catalog, const struct rp_document *document,
-          const GString *text)
+store_document(struct rp_catalog *catalog, const struct rp_document *document,
+               const GString *text)
 {
     struct rp_entry *entry = g_hash_table_lookup(catalog->entries,
                                                  &document->name);
@@ -271,6 +277,7 @@
     g_string_append_len(entry->text, text->str, (gssize)text->len);
 }
 
+/* Applies a change that adds or replaces a document. */
 static enum rp_code
 apply_document(struct rp_catalog *catalog, const struct rp_msg_change *change,
                struct rp_catalog_answer *answer, struct rp_error *error)
@@ -284,29 +291,33 @@
     if (change->service.len &&
         !RpName_Equal(&change->service, &document.name)) {
         return RpError_Add(error, RP_ERR_DOCUMENT, "document",
-                           "is for service %s, not for %s", document.name.data,
-                           change->service.data);
+                           "defines service %s, but the change is for "
+                           "service %s",
+                           document.name.data, change->service.data);
     }
     const struct rp_entry *entry = RpCatalog_Find(catalog, &document.name);
     if (entry && entry->from_edition) {
         return RpError_Add(error, RP_ERR_DOCUMENT, document.name.data,
-                           "is named by the edition in force");
+                           "is defined by edition %" G_GUINT64_FORMAT
+                           " and cannot have a document",
+                           catalog->edition.version);
     }
     uint64_t current = entry ? entry->revision : 0;
     if (change->has_base && change->base != current) {
         answer->revision = current;
         return RpError_Add(error, RP_ERR_CONFLICT, document.name.data,
                            "based on revision %" G_GUINT64_FORMAT
-                           ", the current one is %" G_GUINT64_FORMAT,
+                           ", the current revision is %" G_GUINT64_FORMAT,
                            change->base, current);
     }
-    RP_FORWARD_IF_ERROR(check_address(catalog, &document, error));
-    put_entry(catalog, &document, change->document);
+    RP_FORWARD_IF_ERROR(check_address_available(catalog, &document, error));
+    store_document(catalog, &document, change->document);
     answer->revision = catalog->revision;
     answer->service_id = RpCatalog_Find(catalog, &document.name)->id;
     return RP_OK;
 }
 
+/* Applies a change that deletes a service that has a document. */
 static enum rp_code
 apply_delete(struct rp_catalog *catalog, const struct rp_msg_change *change,
              struct rp_catalog_answer *answer, struct rp_error *error)
@@ -320,13 +331,15 @@
     }
     if (entry->from_edition) {
         return RpError_Add(error, RP_ERR_DOCUMENT, change->service.data,
-                           "is named by the edition in force");
+                           "is defined by edition %" G_GUINT64_FORMAT
+                           " and cannot be deleted separately",
+                           catalog->edition.version);
     }
     if (change->has_base && change->base != entry->revision) {
         answer->revision = entry->revision;
         return RpError_Add(error, RP_ERR_CONFLICT, change->service.data,
                            "based on revision %" G_GUINT64_FORMAT
-                           ", the current one is %" G_GUINT64_FORMAT,
+                           ", the current revision is %" G_GUINT64_FORMAT,
                            change->base, entry->revision);
     }
     catalog->revision++;
@@ -337,6 +350,8 @@
     return RP_OK;
 }
 
+/* Applies a change unless its id has been answered before. Stores the answer
+ * also if the change is refused. */
 static enum rp_code
 apply_change(struct rp_catalog *catalog, struct rp_str body,
              struct rp_msg_change_reply *reply)
@@ -348,8 +363,8 @@
     if (!RpSchema_Decode(&rp_msg_change_schema, body, &change)) {
         return RP_ERR_FORMAT;
     }
-    bool known = RpCatalog_FindReply(catalog, change.id, reply);
-    if (!known) {
+    bool answered = RpCatalog_FindReply(catalog, change.id, reply);
+    if (!answered) {
         enum rp_code code;
         RpError_Init(&error);
         memcpy(answer.id, change.id, RP_CHANGE_ID_SIZE);
@@ -357,7 +372,7 @@
                    ? apply_document(catalog, &change, &answer, &error)
                    : apply_delete(catalog, &change, &answer, &error);
         answer.code = (uint8_t)code;
-        RpCatalog_Remember(catalog, &answer);
+        RpCatalog_StoreAnswer(catalog, &answer);
         if (reply) {
             fill_reply(reply, &answer, false);
             RpCatalog_ReplyFindings(reply, &error);
@@ -368,6 +383,8 @@
     return RP_OK;
 }
 
+/* Ends the quarantine of addresses that were given up at or before the
+ * revision in `body`. */
 static enum rp_code
 apply_release(struct rp_catalog *catalog, struct rp_str body)
 {
@@ -388,9 +405,9 @@
 }
 
 struct rp_entry *
-RpCatalog_AddPlain(struct rp_catalog *catalog,
-                   const struct rp_edition_service *service, uint32_t id,
-                   uint64_t revision)
+RpCatalog_AddEditionService(struct rp_catalog *catalog,
+                            const struct rp_edition_service *service,
+                            uint32_t id, uint64_t revision)
 {
     struct rp_entry *entry = g_new0(struct rp_entry, 1);
 
@@ -407,7 +424,7 @@
 }
 
 bool
-RpCatalog_LoadEdition(struct rp_catalog *catalog, struct rp_str bytes)
+RpCatalog_SetEdition(struct rp_catalog *catalog, struct rp_str bytes)
 {
     struct rp_edition edition;
 
@@ -423,10 +440,11 @@
     return true;
 }
 
-/* A service may not be named by an edition and have a document, too. */
+/* Adds a finding for each service of the edition that is already defined by a
+ * document. */
 static enum rp_code
-check_names(const struct rp_catalog *catalog, const struct rp_edition *edition,
-            struct rp_error *error)
+check_no_documents(const struct rp_catalog *catalog,
+                   const struct rp_edition *edition, struct rp_error *error)
 {
     enum rp_code code = RP_OK;
 
@@ -437,19 +455,19 @@
         const struct rp_entry *entry = RpCatalog_Find(catalog, name);
         if (entry && !entry->from_edition) {
             code = RpError_Add(error, RP_ERR_DOCUMENT, name->data,
-                               "has a document of its own");
+                               "is already defined by a document");
         }
     }
     return code;
 }
 
-/* Adds the services that the edition names, drops those that it does not
- * name any more. */
+/* Adds the services that the current edition lists, updates their limits, and
+ * removes those services of earlier editions that it does not list. */
 static void
-replace_services(struct rp_catalog *catalog)
+apply_edition_services(struct rp_catalog *catalog)
 {
     const GArray *services = catalog->edition.services;
-    GHashTable *named = g_hash_table_new(RpName_Hash, RpName_EqualKeys);
+    GHashTable *listed = g_hash_table_new(RpName_Hash, RpName_EqualKeys);
     GHashTableIter iter;
     gpointer value;
 
@@ -458,10 +476,10 @@
             services, struct rp_edition_service, i);
         struct rp_entry *entry = g_hash_table_lookup(catalog->entries,
                                                      &service->name);
-        g_hash_table_add(named, &service->name);
+        g_hash_table_add(listed, &service->name);
         if (!entry) {
-            RpCatalog_AddPlain(catalog, service, catalog->next_id++,
-                               catalog->revision);
+            RpCatalog_AddEditionService(catalog, service, catalog->next_id++,
+                                        catalog->revision);
         }
         else if (entry->document.flows_per_upstream !=
                  MAX(service->flows_per_upstream, 1)) {
@@ -474,17 +492,19 @@
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const struct rp_entry *entry = value;
         if (entry->from_edition &&
-            !g_hash_table_contains(named, &entry->name)) {
+            !g_hash_table_contains(listed, &entry->name)) {
             g_hash_table_iter_remove(&iter);
         }
     }
-    g_hash_table_destroy(named);
+    g_hash_table_destroy(listed);
 }
 
+/* Applies an edition if it is valid and its version is higher than the current
+ * one. An equal or lower version is accepted as repeated. */
 static enum rp_code
-apply_checked_edition(struct rp_catalog *catalog, struct rp_str body,
-                      struct rp_msg_change_reply *reply,
-                      struct rp_error *error)
+check_and_apply_edition(struct rp_catalog *catalog, struct rp_str body,
+                        struct rp_msg_change_reply *reply,
+                        struct rp_error *error)
 {
     struct rp_edition edition;
 
@@ -493,13 +513,13 @@
     }
     uint64_t version = edition.version;
     enum rp_code code = RpEdition_Check(&edition, error);
-    code = code == RP_OK ? check_names(catalog, &edition, error) : code;
+    code = code == RP_OK ? check_no_documents(catalog, &edition, error) : code;
     RpEdition_Clear(&edition);
     RP_FORWARD_IF_ERROR(code);
     reply->repeated = version <= catalog->edition.version;
-    if (!reply->repeated && RpCatalog_LoadEdition(catalog, body)) {
+    if (!reply->repeated && RpCatalog_SetEdition(catalog, body)) {
         catalog->revision++;
-        replace_services(catalog);
+        apply_edition_services(catalog);
     }
     return RP_OK;
 }
@@ -508,17 +528,18 @@
 apply_edition(struct rp_catalog *catalog, struct rp_str body,
               struct rp_msg_change_reply *reply)
 {
-    struct rp_msg_change_reply unread = {0};
+    struct rp_msg_change_reply unused = {0};
     struct rp_error error;
 
-    reply = reply ? reply : &unread;
+    reply = reply ? reply : &unused;
     RpError_Init(&error);
     reply->is_edition = 1;
-    reply->code = (uint8_t)apply_checked_edition(catalog, body, reply, &error);
+    reply->code = (uint8_t)check_and_apply_edition(catalog, body, reply,
+                                                   &error);
     reply->revision = catalog->revision;
     RpCatalog_ReplyFindings(reply, &error);
     RpError_Clear(&error);
-    RpSchema_Clear(&rp_msg_change_reply_schema, &unread);
+    RpSchema_Clear(&rp_msg_change_reply_schema, &unused);
     return RP_OK;
 }
 
@@ -583,7 +604,7 @@
 }
 
 static gint
-compare_names(gconstpointer a, gconstpointer b)
+compare_entry_names(gconstpointer a, gconstpointer b)
 {
     const struct rp_entry *left = *(const struct rp_entry *const *)a;
     const struct rp_entry *right = *(const struct rp_entry *const *)b;
@@ -602,7 +623,7 @@
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         g_ptr_array_add(list, value);
     }
-    g_ptr_array_sort(list, compare_names);
+    g_ptr_array_sort(list, compare_entry_names);
     return list;
 }
 
--- a/lib/control/rp_catalog.h
+++ b/lib/control/rp_catalog.h
@@ -1,19 +1,23 @@
-/* The catalogue of services: the replicated state of the system.
+/* The catalogue of services: the replicated configuration of the system.
  *
  * It is a deterministic state machine: the same commands in the same order
  * give the same state and the same replies on every replica. Commands and
- * snapshots are bytes, so that the log below need not know them.
+ * snapshots are byte strings, so that the replicated log does not depend on
+ * their contents.
  *
- * - Each accepted change gets the next revision; revisions never fall.
- * - A change id is applied at most once; sent again it gets its first
- *   answer again. The last RP_CATALOG_CHANGE_MEMORY ids are remembered.
- * - A change based on a revision that is no longer current is refused with
- *   the current one.
- * - An edition (rp_edition.h) replaces the services and virtual addresses of
- *   the edition before it; services that have a document stay as they are.
- *   A service keeps its id as long as editions name it.
- * - An address that a service gives up stays quarantined until a release
- *   command says that no instance uses it any more.
+ * - Each accepted change gets the next revision; revisions never decrease.
+ * - A change id is applied at most once. A change that is sent again gets the
+ *   stored reply. The replies to the last RP_CATALOG_CHANGE_MEMORY ids are
+ *   stored.
+ * - A change based on a revision that is no longer current is refused, and
+ *   the reply holds the current revision.
+ * - A service is defined either by a document (rp_document.h) or by the
+ *   edition (rp_edition.h). A new edition replaces the services and virtual
+ *   addresses of the previous one and leaves services with a document
+ *   unchanged. A service keeps its id as long as each edition lists it.
+ * - An address that a service no longer uses stays quarantined: other services
+ *   cannot use it until a release command confirms that the connected nodes
+ *   run the revision in which it was given up, or a later one.
  */
 #ifndef RP_CATALOG_H
 #define RP_CATALOG_H
@@ -26,75 +30,91 @@
 
 #define RP_CATALOG_CHANGE_MEMORY 65536 /* change ids */
 
-/* One service. */
+/* A service in the catalogue. */
 struct rp_entry {
     struct rp_name name;
     uint32_t id;
-    uint32_t incarnation; /* changes when the address does */
+    uint32_t incarnation; /* changes when the address changes */
     uint64_t revision;    /* of its last change */
     struct rp_document document;
-    GString *text;
-    bool from_edition; /* it has no document: the edition names it */
+    GString *text;     /* the document as it was sent; empty: none */
+    bool from_edition; /* the edition defines the service, not a document */
 };
 
-/* An address between two services. */
+/* An address that a service no longer uses but other services cannot use
+ * yet. */
 struct rp_quarantine {
     uint32_t address;
     uint16_t port;
-    uint64_t revision; /* at which it was given up */
-    struct rp_name service;
+    uint64_t revision;      /* at which the service stopped using it */
+    struct rp_name service; /* its last user, which may take it back */
 };
 
 struct rp_catalog;
 
+/* Creates an empty catalogue; free it with RpCatalog_Free. */
 struct rp_catalog *RpCatalog_Create(void);
 
 void RpCatalog_Free(struct rp_catalog *catalog);
 
-/* Makes it an empty catalogue again, as after RpCatalog_Create. */
+/* Empties the catalogue, as after RpCatalog_Create. */
 void RpCatalog_Reset(struct rp_catalog *catalog);
 
-/* Commands. Free the result. */
+/* These functions encode commands for RpCatalog_Apply. The caller frees the
+ * result. Init sets the flow hash key once; Change applies or deletes a
+ * document; Release ends the quarantine of addresses up to `revision`;
+ * Edition installs an edition. */
 GString *RpCatalog_EncodeInit(const uint8_t hash_key[RP_HASH_KEY_SIZE]);
 GString *RpCatalog_EncodeChange(const struct rp_msg_change *change);
 GString *RpCatalog_EncodeRelease(uint64_t revision);
 GString *RpCatalog_EncodeEdition(const struct rp_edition *edition);
 
-/* Applies a command. For a change, `reply` gets the answer (clear it with
- * the schema); NULL if nobody waits for it. */
+/* Applies a command. `reply` receives the reply to a change or an edition,
+ * and may be NULL; clear it with rp_msg_change_reply_schema. Returns
+ * RP_ERR_FORMAT if the command cannot be decoded. A command that is refused
+ * returns RP_OK, with the error code in the reply. */
 enum rp_code RpCatalog_Apply(struct rp_catalog *catalog, struct rp_str command,
                              struct rp_msg_change_reply *reply);
 
-/* The answer that a change id was given before; false if none. */
+/* Finds the stored reply to a change id. Returns false if there is none.
+ * `reply` may be NULL. */
 bool RpCatalog_FindReply(const struct rp_catalog *catalog,
                          const uint8_t id[RP_CHANGE_ID_SIZE],
                          struct rp_msg_change_reply *reply);
 
-/* The whole state as bytes, and back. */
+/* Encodes the whole state. The caller frees the result. */
 GString *RpCatalog_Snapshot(const struct rp_catalog *catalog);
+
+/* Replaces the whole state by a snapshot. Returns an error code if the
+ * snapshot cannot be decoded; the catalogue may then be incomplete. */
 enum rp_code RpCatalog_Restore(struct rp_catalog *catalog,
                                struct rp_str snapshot);
 
-/* Whether the hash key is set, and the key. */
+/* Returns whether the flow hash key has been set. */
 bool RpCatalog_IsInitialised(const struct rp_catalog *catalog);
+
+/* Returns the flow hash key, RP_HASH_KEY_SIZE bytes; zero before it is
+ * set. */
 const uint8_t *RpCatalog_HashKey(const struct rp_catalog *catalog);
 
 uint64_t RpCatalog_Revision(const struct rp_catalog *catalog);
 
-/* A service by name, or NULL. */
+/* Returns the service with this name, or NULL. The catalogue owns it. */
 const struct rp_entry *RpCatalog_Find(const struct rp_catalog *catalog,
                                       const struct rp_name *name);
 
-/* All services, ordered by name; free with g_ptr_array_unref. */
+/* Lists all services, ordered by name. The catalogue owns the elements; free
+ * the array with g_ptr_array_unref. */
 GPtrArray *RpCatalog_List(const struct rp_catalog *catalog);
 
-/* The edition in force, or NULL before the first. */
+/* Returns the edition in force, or NULL before the first one. */
 const struct rp_edition *RpCatalog_Edition(const struct rp_catalog *catalog);
 
-/* The highest revision of a quarantined address; 0 if there is none. */
+/* Returns the highest revision at which a quarantined address was given up,
+ * or 0 if no address is quarantined. */
 uint64_t RpCatalog_QuarantineRevision(const struct rp_catalog *catalog);
 
-/* Copies an error's findings into a reply. */
+/* Appends a copy of the error's findings to the reply. */
 void RpCatalog_ReplyFindings(struct rp_msg_change_reply *reply,
                              const struct rp_error *error);
 
--- a/lib/control/rp_catalog_internal.h
+++ b/lib/control/rp_catalog_internal.h
@@ -1,10 +1,10 @@
-/* The catalogue's own parts, shared by the rp_catalog*.c files. */
+/* Structs and functions that only the rp_catalog*.c files share. */
 #ifndef RP_CATALOG_INTERNAL_H
 #define RP_CATALOG_INTERNAL_H
 
 #include "rp_catalog.h"
 
-/* A remembered answer. */
+/* The reply to a change, stored so that a repeated change gets it again. */
 struct rp_catalog_answer {
     uint8_t id[RP_CHANGE_ID_SIZE];
     uint8_t code;
@@ -21,25 +21,29 @@
     GHashTable *entries; /* name -> struct rp_entry */
     GHashTable *answers; /* id bytes -> struct rp_catalog_answer */
     GQueue answer_order; /* of struct rp_catalog_answer, oldest first; owns
-                            them */
+                            the elements */
     GArray *quarantine;  /* of struct rp_quarantine */
-    struct rp_edition edition; /* its version is 0 before the first */
-    GString *edition_bytes;    /* the same, encoded */
+    struct rp_edition edition; /* version 0: no edition yet */
+    GString *edition_bytes;    /* `edition`, encoded; NULL: none yet */
 };
 
-/* Adds the entry of a service that the edition names. */
-struct rp_entry *RpCatalog_AddPlain(struct rp_catalog *catalog,
-                                    const struct rp_edition_service *service,
-                                    uint32_t id, uint64_t revision);
+/* Adds a service that the edition defines, with default limits for those that
+ * the edition does not set. */
+struct rp_entry *
+RpCatalog_AddEditionService(struct rp_catalog *catalog,
+                            const struct rp_edition_service *service,
+                            uint32_t id, uint64_t revision);
 
-/* Takes an edition over, with its encoded form. */
-bool RpCatalog_LoadEdition(struct rp_catalog *catalog, struct rp_str bytes);
+/* Decodes an edition and makes it the current one, without changing the
+ * services. Returns false, and changes nothing, if it cannot be decoded. */
+bool RpCatalog_SetEdition(struct rp_catalog *catalog, struct rp_str bytes);
 
-/* Drops all content. */
+/* Frees all services, answers, quarantined addresses and the edition. */
 void RpCatalog_Clear(struct rp_catalog *catalog);
 
-/* Keeps an answer, and forgets the oldest over the limit. */
-void RpCatalog_Remember(struct rp_catalog *catalog,
-                        const struct rp_catalog_answer *answer);
+/* Stores an answer, and drops the oldest ones above
+ * RP_CATALOG_CHANGE_MEMORY. */
+void RpCatalog_StoreAnswer(struct rp_catalog *catalog,
+                           const struct rp_catalog_answer *answer);
 
 #endif
--- a/lib/control/rp_catalog_snapshot.c
+++ b/lib/control/rp_catalog_snapshot.c
@@ -1,9 +1,9 @@
-/* The whole catalogue as bytes, and back. */
+/* Snapshots: encodes the whole catalogue and restores it. */
 #include <string.h>
 
 #include "rp_catalog_internal.h"
 
-/* A service as a snapshot stores it. */
+/* A service with a document, as a snapshot stores it. */
 struct stored_entry {
     uint32_t id;
     uint32_t incarnation;
@@ -11,8 +11,8 @@
     GString *text;
 };
 
-/* A service that the edition names. */
-struct stored_plain {
+/* A service that the edition defines. The edition holds its limits. */
+struct stored_edition_service {
     struct rp_name name;
     uint32_t id;
     uint64_t revision;
@@ -26,8 +26,8 @@
     GArray *entries;    /* of struct stored_entry */
     GArray *answers;    /* of struct rp_catalog_answer, oldest first */
     GArray *quarantine; /* of struct rp_quarantine */
-    GArray *plain;      /* of struct stored_plain */
-    GString *edition;   /* encoded; empty before the first */
+    GArray *plain;      /* of struct stored_edition_service */
+    GString *edition;   /* encoded; empty: no edition yet */
 };
 
 static const struct rp_field answer_fields[] = {
@@ -58,13 +58,13 @@
 static const struct rp_schema quarantine_schema = RP_SCHEMA(rp_quarantine,
                                                             quarantine_fields);
 
-static const struct rp_field plain_fields[] = {
-    RP_FIELD(RP_FIELD_NAME, stored_plain, name),
-    RP_FIELD(RP_FIELD_UINT, stored_plain, id),
-    RP_FIELD(RP_FIELD_UINT, stored_plain, revision),
+static const struct rp_field edition_service_fields[] = {
+    RP_FIELD(RP_FIELD_NAME, stored_edition_service, name),
+    RP_FIELD(RP_FIELD_UINT, stored_edition_service, id),
+    RP_FIELD(RP_FIELD_UINT, stored_edition_service, revision),
 };
-static const struct rp_schema plain_schema = RP_SCHEMA(stored_plain,
-                                                       plain_fields);
+static const struct rp_schema edition_service_schema = RP_SCHEMA(
+    stored_edition_service, edition_service_fields);
 
 static const struct rp_field stored_catalog_fields[] = {
     RP_FIELD(RP_FIELD_UINT, stored_catalog, revision),
@@ -74,12 +74,14 @@
     RP_FIELD_LIST_OF(stored_catalog, entries, &stored_entry_schema),
     RP_FIELD_LIST_OF(stored_catalog, answers, &answer_schema),
     RP_FIELD_LIST_OF(stored_catalog, quarantine, &quarantine_schema),
-    RP_FIELD_LIST_OF(stored_catalog, plain, &plain_schema),
+    RP_FIELD_LIST_OF(stored_catalog, plain, &edition_service_schema),
     RP_FIELD(RP_FIELD_TEXT, stored_catalog, edition),
 };
 static const struct rp_schema stored_catalog_schema = RP_SCHEMA(
     stored_catalog, stored_catalog_fields);
 
+/* Appends services with a document to `rows`, and services of the edition to
+ * `plain`. */
 static void
 store_entries(const struct rp_catalog *catalog, GArray *rows, GArray *plain)
 {
@@ -88,11 +90,11 @@
     for (guint i = 0; i < entries->len; i++) {
         const struct rp_entry *entry = g_ptr_array_index(entries, i);
         if (entry->from_edition) {
-            const struct stored_plain short_row = {
+            const struct stored_edition_service service_row = {
                 .name = entry->name,
                 .id = entry->id,
                 .revision = entry->revision};
-            g_array_append_val(plain, short_row);
+            g_array_append_val(plain, service_row);
             continue;
         }
         struct stored_entry row = {
@@ -116,7 +118,7 @@
         .entries = RpSchema_NewList(&stored_entry_schema),
         .answers = RpSchema_NewList(&answer_schema),
         .quarantine = RpSchema_NewList(&quarantine_schema),
-        .plain = RpSchema_NewList(&plain_schema),
+        .plain = RpSchema_NewList(&edition_service_schema),
         .edition = g_string_new(NULL)};
 
     memcpy(stored.hash_key, catalog->hash_key, RP_HASH_KEY_SIZE);
@@ -135,6 +137,7 @@
     return out;
 }
 
+/* Restores a service from its document. */
 static enum rp_code
 restore_entry(struct rp_catalog *catalog, const struct stored_entry *row)
 {
@@ -153,7 +156,7 @@
     return RP_OK;
 }
 
-/* The edition, and the services that it names under their ids. */
+/* Restores the edition and its services, which keep their stored ids. */
 static enum rp_code
 restore_edition(struct rp_catalog *catalog,
                 const struct stored_catalog *stored)
@@ -164,18 +167,19 @@
     if (bytes.len == 0) {
         return RP_OK;
     }
-    if (!RpCatalog_LoadEdition(catalog, bytes)) {
+    if (!RpCatalog_SetEdition(catalog, bytes)) {
         return RP_ERR_FORMAT;
     }
     const GArray *services = catalog->edition.services;
     for (guint i = 0; i < stored->plain->len; i++) {
-        const struct stored_plain *row = &g_array_index(
-            stored->plain, struct stored_plain, i);
+        const struct stored_edition_service *row = &g_array_index(
+            stored->plain, struct stored_edition_service, i);
         for (guint j = 0; j < services->len; j++) {
             const struct rp_edition_service *service = &g_array_index(
                 services, struct rp_edition_service, j);
             if (RpName_Equal(&service->name, &row->name)) {
-                RpCatalog_AddPlain(catalog, service, row->id, row->revision);
+                RpCatalog_AddEditionService(catalog, service, row->id,
+                                            row->revision);
             }
         }
     }
@@ -204,7 +208,7 @@
         code = restore_edition(catalog, &stored);
     }
     for (guint i = 0; i < stored.answers->len; i++) {
-        RpCatalog_Remember(
+        RpCatalog_StoreAnswer(
             catalog,
             &g_array_index(stored.answers, struct rp_catalog_answer, i));
     }
--- a/lib/control/rp_document.h
+++ b/lib/control/rp_document.h
@@ -1,4 +1,5 @@
-/* Service documents: what a team writes about its service.
+/* Service documents: the configuration of one service, written by the team
+ * that owns the service.
  *
  * A document is a key file:
  *
@@ -13,8 +14,11 @@
  *     [recovery]
  *     silence-seconds = 30         # unanswered data before a flow is probed
  *
- * Only name and address are required. All findings of a document are
- * collected, each with the line it belongs to.
+ *     [placement]
+ *     long-slots-percent = 50      # slots that long requests may occupy
+ *
+ * Only name and address are required. RpDocument_Parse reports all errors of
+ * a document, each with its line number.
  */
 #ifndef RP_DOCUMENT_H
 #define RP_DOCUMENT_H
@@ -24,24 +28,26 @@
 
 #define RP_DOCUMENT_MAX 65536 /* bytes */
 
-/* A checked document. */
+/* A parsed and checked document. */
 struct rp_document {
     struct rp_name name;
     struct rp_endpoint address;
-    unsigned address_line; /* where the address stands */
+    unsigned address_line; /* line number of the address; 0: none */
     uint32_t flows_per_upstream;
     uint32_t retries_percent;
     uint32_t silence_ms;
     uint32_t long_slots_percent;
 };
 
-/* Reads and checks a document. On failure every finding is in `error`, its
- * place being "line N". */
+/* Parses and checks a document. Returns RP_OK, RP_ERR_LIMIT if the text is
+ * larger than RP_DOCUMENT_MAX, or RP_ERR_DOCUMENT. `error` receives a finding
+ * for each error; its place is "line N", or "document" if the error concerns
+ * the whole text. `error` may be NULL. */
 enum rp_code RpDocument_Parse(struct rp_str text, struct rp_document *document,
                               struct rp_error *error);
 
-/* The document of a service that says no more than its name: no address of
- * its own, all limits at their defaults. */
+/* Initialises the document of a service that has only a name: no address of
+ * its own, and the default for each limit. */
 void RpDocument_InitPlain(struct rp_document *document,
                           const struct rp_name *name);
 
--- a/tests/unit/test_control.c
+++ b/tests/unit/test_control.c
@@ -1,4 +1,4 @@
-/* Documents, the catalogue and the registry. */
+/* Tests of service documents, the catalogue and the registry. */
 #include <glib.h>
 #include <string.h>
 
@@ -15,10 +15,10 @@
 static void
 test_documents(void **state)
 {
-    /* Each document with all the findings that it must get. */
+    /* Documents, and the findings that each must produce, in order. */
     static const struct {
         const char *text;
-        const char *findings;
+        const char *expected;
     } cases[] = {
         {LENS, ""},
         {LENS "# done\n\n[limits]\nflows-per-upstream = 5  # few\n", ""},
@@ -26,8 +26,9 @@
              "line 0: [service] has no address\n"},
         {"[service]\nname = Lens\naddress = there\n[limits]\n"
          "retries-percent = 101\nflows-per-upstream = 0\n",
-         "line 2: name must be a-z, 0-9 and inner hyphens, at most 63\n"
-         "line 3: address must read a.b.c.d:port\n"
+         "line 2: name must have 1 to 63 characters a-z, 0-9 and -, and must "
+         "not start or end with -\n"
+         "line 3: address must have the form a.b.c.d:port\n"
          "line 6: flows-per-upstream must be a number from 1 to 1000000\n"
          "line 5: retries-percent must be a number from 0 to 100\n"},
         {LENS "colour = red\nname = two\nnonsense\n[shop]\nx = 1\n[bad\n",
@@ -35,8 +36,8 @@
          "line 5: name is already set in line 2\n"
          "line 6: expected [group] or key = value\n"
          "line 7: unknown group [shop]\n"
-         "line 9: a group reads [name]\n"},
-        {"name = early\n" LENS, "line 1: a key before the first group\n"},
+         "line 9: group must have the form [name]\n"},
+        {"name = early\n" LENS, "line 1: key before the first group\n"},
     };
 
     (void)state;
@@ -48,45 +49,46 @@
         enum rp_code code = RpDocument_Parse(RpStr_FromC(cases[i].text),
                                              &document, &error);
         RpError_Format(&error, text);
-        assert_string_equal(text->str, cases[i].findings);
+        assert_string_equal(text->str, cases[i].expected);
         assert_int_equal(code, text->len ? RP_ERR_DOCUMENT : RP_OK);
         RpError_Clear(&error);
         g_string_free(text, TRUE);
     }
 }
 
-/* One change as a test writes it. */
-struct step {
+/* A change, and the reply that it must get. */
+struct change_case {
     uint8_t id;
     const char *document; /* NULL: delete `service` */
     const char *service;
-    int base; /* -1: none */
+    int base; /* revision that the change is based on; -1: none */
     enum rp_code code;
     uint64_t revision;
     bool repeated;
 };
 
 static void
-apply_step(struct rp_catalog *catalog, const struct step *step)
+apply_change_case(struct rp_catalog *catalog,
+                  const struct change_case *change_case)
 {
-    struct rp_msg_change change = {.id = {step->id},
-                                   .kind = step->document ? RP_CHANGE_APPLY
-                                                          : RP_CHANGE_DELETE,
-                                   .has_base = step->base >= 0,
-                                   .base = (uint64_t)step->base};
+    struct rp_msg_change change = {
+        .id = {change_case->id},
+        .kind = change_case->document ? RP_CHANGE_APPLY : RP_CHANGE_DELETE,
+        .has_base = change_case->base >= 0,
+        .base = (uint64_t)change_case->base};
     struct rp_msg_change_reply reply = {0};
 
-    RpName_Set(&change.service, RpStr_FromC(step->service));
-    change.document = g_string_new(step->document);
+    RpName_Set(&change.service, RpStr_FromC(change_case->service));
+    change.document = g_string_new(change_case->document);
     GString *command = RpCatalog_EncodeChange(&change);
     assert_int_equal(RpCatalog_Apply(catalog,
                                      (struct rp_str){.data = command->str,
                                                      .len = command->len},
                                      &reply),
                      RP_OK);
-    assert_int_equal(reply.code, step->code);
-    assert_int_equal(reply.revision, step->revision);
-    assert_int_equal(reply.repeated, step->repeated);
+    assert_int_equal(reply.code, change_case->code);
+    assert_int_equal(reply.revision, change_case->revision);
+    assert_int_equal(reply.repeated, change_case->repeated);
     g_string_free(command, TRUE);
     RpSchema_Clear(&rp_msg_change_reply_schema, &reply);
     RpSchema_Clear(&rp_msg_change_schema, &change);
@@ -103,20 +105,21 @@
     g_string_free(command, TRUE);
 }
 
-static const struct step story[] = {
+static const struct change_case changes[] = {
     {1, LENS, "", 0, RP_OK, 1, false},
     {2, SHELF, "photo-shelf", -1, RP_OK, 2, false},
-    /* Resent: the first answer, and nothing applied. */
+    /* A change that is sent again gets the first reply and is not applied. */
     {1, LENS, "", 0, RP_OK, 1, true},
-    /* Two operators with equal numbers: one wins, the other is told. */
+    /* Of two changes based on the same revision, the second is refused. */
     {3, LENS "# a\n", "", 1, RP_OK, 3, false},
     {4, LENS "# b\n", "", 1, RP_ERR_CONFLICT, 3, false},
     {4, LENS "# b\n", "", 1, RP_ERR_CONFLICT, 3, true},
-    /* Another service's address, in use and just released. */
+    /* Another service's address is refused while that service uses it, and
+     * while it is quarantined. */
     {5, SHELF_ON_LENS, "", -1, RP_ERR_DOCUMENT, 0, false},
     {6, LENS_MOVED, "", 3, RP_OK, 4, false},
     {7, SHELF_ON_LENS, "", -1, RP_ERR_DOCUMENT, 0, false},
-    /* Going back to one's own address is fine. */
+    /* A service may take its own quarantined address back. */
     {8, LENS, "", 4, RP_OK, 5, false},
     {9, LENS, "photo-shelf", -1, RP_ERR_DOCUMENT, 0, false},
     {10, NULL, "nobody", -1, RP_ERR_NOT_FOUND, 0, false},
@@ -126,39 +129,39 @@
 };
 
 static void
-test_catalog_story(void **state)
+test_catalog_changes(void **state)
 {
     struct rp_catalog *catalog = RpCatalog_Create();
 
     (void)state;
-    for (size_t i = 0; i < G_N_ELEMENTS(story); i++) {
-        apply_step(catalog, &story[i]);
+    for (size_t i = 0; i < G_N_ELEMENTS(changes); i++) {
+        apply_change_case(catalog, &changes[i]);
     }
     assert_int_equal(RpCatalog_QuarantineRevision(catalog), 6);
     release(catalog, 6);
     assert_int_equal(RpCatalog_QuarantineRevision(catalog), 0);
-    apply_step(catalog,
-               &(struct step){14, SHELF_ON_LENS, "", 2, RP_OK, 7, false});
+    apply_change_case(catalog, &(struct change_case){14, SHELF_ON_LENS, "", 2,
+                                                     RP_OK, 7, false});
     RpCatalog_Free(catalog);
 }
 
-/* After each step, a replica restored from a snapshot goes on exactly as
- * the first one does. */
+/* After each change, a catalogue that is restored from a snapshot must reply
+ * to the next change, and store its state, exactly as the original does. */
 static void
-test_snapshots(void **state)
+test_restore_after_each_change(void **state)
 {
     struct rp_catalog *first = RpCatalog_Create();
     struct rp_catalog *second = RpCatalog_Create();
 
     (void)state;
-    for (size_t i = 0; i < G_N_ELEMENTS(story); i++) {
+    for (size_t i = 0; i < G_N_ELEMENTS(changes); i++) {
         GString *before = RpCatalog_Snapshot(first);
         assert_int_equal(
             RpCatalog_Restore(second, (struct rp_str){.data = before->str,
                                                       .len = before->len}),
             RP_OK);
-        apply_step(first, &story[i]);
-        apply_step(second, &story[i]);
+        apply_change_case(first, &changes[i]);
+        apply_change_case(second, &changes[i]);
         GString *left = RpCatalog_Snapshot(first);
         GString *right = RpCatalog_Snapshot(second);
         assert_true(g_string_equal(left, right));
@@ -194,7 +197,7 @@
         int64_t now_ms;
         uint64_t incarnation;
         uint64_t sequence;
-        enum rp_upstream_state said;
+        enum rp_upstream_state state;
         enum rp_registry_change change;
     } cases[] = {
         {0, 5, 1, RP_UPSTREAM_READY, RP_REGISTRY_CHANGED},
@@ -207,49 +210,50 @@
         {1100, 6, 2, RP_UPSTREAM_LOST, RP_REGISTRY_REFUSED},
     };
     struct rp_registry *registry = RpRegistry_Create();
-    struct rp_msg_announce over;
+    struct rp_msg_announce expired;
 
     (void)state;
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
-        struct rp_msg_announce news = make_announce(
-            cases[i].incarnation, cases[i].sequence, cases[i].said);
+        struct rp_msg_announce announce = make_announce(
+            cases[i].incarnation, cases[i].sequence, cases[i].state);
         assert_int_equal(RpRegistry_Merge(registry,
                                           cases[i].now_ms * RP_US_PER_MS,
-                                          &news, NULL),
+                                          &announce, NULL),
                          cases[i].change);
     }
     int64_t end = 3000 * RP_US_PER_MS;
-    assert_false(RpRegistry_Expire(registry, end - 1, &over));
-    assert_true(RpRegistry_Expire(registry, end, &over));
-    assert_string_equal(over.service.data, "lens-desk");
-    assert_int_equal(over.state, RP_UPSTREAM_LOST);
-    assert_false(RpRegistry_Expire(registry, end, &over));
+    assert_false(RpRegistry_Expire(registry, end - 1, &expired));
+    assert_true(RpRegistry_Expire(registry, end, &expired));
+    assert_string_equal(expired.service.data, "lens-desk");
+    assert_int_equal(expired.state, RP_UPSTREAM_LOST);
+    assert_false(RpRegistry_Expire(registry, end, &expired));
     struct rp_name name;
     RpName_Set(&name, RP_STR("upstream-1"));
     assert_int_equal(RpRegistry_Find(registry, &name)->state,
                      RP_UPSTREAM_LOST);
-    /* A lost one that speaks again is back. */
+    /* A new announcement makes a LOST upstream READY again. */
     struct rp_msg_announce back = make_announce(6, 3, RP_UPSTREAM_READY);
     assert_int_equal(RpRegistry_Merge(registry, end + 1, &back, NULL),
                      RP_REGISTRY_CHANGED);
-    /* Lost for long: dropped. */
+    /* An upstream that stays LOST is removed. */
     end += 2001 * RP_US_PER_MS;
-    assert_true(RpRegistry_Expire(registry, end, &over));
+    assert_true(RpRegistry_Expire(registry, end, &expired));
     assert_true(
-        RpRegistry_Expire(registry, end + RP_REGISTRY_LOST_KEEP_US, &over));
+        RpRegistry_Expire(registry, end + RP_REGISTRY_LOST_KEEP_US, &expired));
     assert_null(RpRegistry_Find(registry, &name));
     RpRegistry_Free(registry);
 }
 
-/* What another replica hears goes on while that replica is heard, whatever
- * the lease; a replica that is cut off goes on with what it knew. */
+/* An upstream that another replica forwarded stays valid while messages from
+ * that replica arrive, even if the lease has expired. While this replica
+ * is cut off, forwarded upstreams do not expire. */
 static void
-test_registry_via(void **state)
+test_registry_forwarded(void **state)
 {
     struct rp_registry *registry = RpRegistry_Create();
     struct rp_msg_announce near = make_announce(1, 1, RP_UPSTREAM_READY);
     struct rp_msg_announce far = make_announce(1, 1, RP_UPSTREAM_READY);
-    struct rp_msg_announce over;
+    struct rp_msg_announce expired;
     struct rp_name other;
     int64_t hour = 3600 * RP_US_PER_SECOND;
 
@@ -259,26 +263,29 @@
     RpRegistry_Merge(registry, 0, &near, NULL);
     RpRegistry_Merge(registry, 0, &far, &other);
     RpRegistry_SetCutOff(registry, RP_US_PER_SECOND, true);
-    assert_true(RpRegistry_Expire(registry, hour, &over));
-    assert_string_equal(over.upstream.data, "upstream-1");
-    assert_false(RpRegistry_Expire(registry, hour, &over));
-    /* Together again: the other replica has its time to be heard of. */
+    assert_true(RpRegistry_Expire(registry, hour, &expired));
+    assert_string_equal(expired.upstream.data, "upstream-1");
+    assert_false(RpRegistry_Expire(registry, hour, &expired));
+    /* After the partition, the upstream stays valid for RP_REGISTRY_MOVE_US,
+     * and for as long again after each message from the other replica. */
     RpRegistry_SetCutOff(registry, hour, false);
     assert_false(
-        RpRegistry_Expire(registry, hour + RP_REGISTRY_MOVE_US - 1, &over));
+        RpRegistry_Expire(registry, hour + RP_REGISTRY_MOVE_US - 1, &expired));
     RpRegistry_ReplicaSeen(registry, hour + RP_US_PER_SECOND, &other);
     assert_false(
-        RpRegistry_Expire(registry, hour + RP_REGISTRY_MOVE_US, &over));
+        RpRegistry_Expire(registry, hour + RP_REGISTRY_MOVE_US, &expired));
     assert_true(RpRegistry_Expire(
-        registry, hour + RP_REGISTRY_MOVE_US + RP_US_PER_SECOND, &over));
-    assert_string_equal(over.upstream.data, "upstream-far");
-    assert_int_equal(over.state, RP_UPSTREAM_LOST);
-    /* Its agent has moved to this replica: news to the others. */
+        registry, hour + RP_REGISTRY_MOVE_US + RP_US_PER_SECOND, &expired));
+    assert_string_equal(expired.upstream.data, "upstream-far");
+    assert_int_equal(expired.state, RP_UPSTREAM_LOST);
+    /* Its agent has connected to this replica, so the change must be
+     * forwarded to the others. */
     far.sequence = 2;
     assert_int_equal(RpRegistry_Merge(registry, hour, &far, NULL),
                      RP_REGISTRY_CHANGED);
-    /* The replica that heard it says that the lease is over; an agent
-     * cannot say so, and a later word of the agent counts more. */
+    /* Only a replica may report that the lease has expired. The state LOST is
+     * newer than READY at the same sequence number, but a later announcement
+     * of the agent replaces it. */
     far.state = RP_UPSTREAM_LOST;
     assert_int_equal(RpRegistry_Merge(registry, hour, &far, NULL),
                      RP_REGISTRY_REFUSED);
@@ -293,37 +300,37 @@
     RpRegistry_Free(registry);
 }
 
-/* Any order, any repetition of the same announcements ends in the same
- * state. */
+/* Merging the same announcements in any order and any number of times must
+ * give the same state. */
 static void
 test_registry_merge_order(void **state)
 {
-    struct rp_msg_announce news[12];
+    struct rp_msg_announce announces[12];
 
     (void)state;
-    for (size_t i = 0; i < G_N_ELEMENTS(news); i++) {
-        news[i] = make_announce(1 + i % 3, 1 + i / 3,
-                                i % 2 ? RP_UPSTREAM_READY
-                                      : RP_UPSTREAM_DRAINING);
-        news[i].slots = 1 + (uint32_t)(i % 4);
+    for (size_t i = 0; i < G_N_ELEMENTS(announces); i++) {
+        announces[i] = make_announce(1 + i % 3, 1 + i / 3,
+                                     i % 2 ? RP_UPSTREAM_READY
+                                           : RP_UPSTREAM_DRAINING);
+        announces[i].slots = 1 + (uint32_t)(i % 4);
     }
     for (guint32 seed = 0; seed < 500; seed++) {
-        GRand *dice = g_rand_new_with_seed(seed);
+        GRand *rng = g_rand_new_with_seed(seed);
         struct rp_registry *registry = RpRegistry_Create();
         struct rp_name name;
         for (size_t i = 0; i < 24; i++) {
-            RpRegistry_Merge(registry, 0, &news[g_rand_int_range(dice, 0, 12)],
-                             NULL);
+            RpRegistry_Merge(registry, 0,
+                             &announces[g_rand_int_range(rng, 0, 12)], NULL);
         }
-        for (size_t i = 0; i < G_N_ELEMENTS(news); i++) {
-            RpRegistry_Merge(registry, 0, &news[i], NULL);
+        for (size_t i = 0; i < G_N_ELEMENTS(announces); i++) {
+            RpRegistry_Merge(registry, 0, &announces[i], NULL);
         }
         RpName_Set(&name, RP_STR("upstream-1"));
         const struct rp_upstream *last = RpRegistry_Find(registry, &name);
         assert_int_equal(last->last.incarnation, 3);
         assert_int_equal(last->last.sequence, 4);
         RpRegistry_Free(registry);
-        g_rand_free(dice);
+        g_rand_free(rng);
     }
 }
 
@@ -332,10 +339,10 @@
 {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(test_documents),
-        cmocka_unit_test(test_catalog_story),
-        cmocka_unit_test(test_snapshots),
+        cmocka_unit_test(test_catalog_changes),
+        cmocka_unit_test(test_restore_after_each_change),
         cmocka_unit_test(test_registry_leases),
-        cmocka_unit_test(test_registry_via),
+        cmocka_unit_test(test_registry_forwarded),
         cmocka_unit_test(test_registry_merge_order),
     };
 
