--- a/lib/control/rp_edition.h
+++ b/lib/control/rp_edition.h
@@ -1,11 +1,11 @@
-/* Editions: a whole configuration at once, under a version that its operator
- * chose.
+/* Editions: complete configurations, with version numbers that the operator
+ * chooses.
  *
- * An edition holds services, the virtual addresses that lead to them and the
- * content as it was sent, to be read back. The edition with the highest
- * version is in force; an equal or lower version changes nothing and is
- * accepted all the same. `struct rp_edition` is in rp_msg.h, for it travels
- * in the replicated log.
+ * An edition holds services, the virtual addresses that distribute flows to
+ * them, and the content as the operator sent it, which can be read back. The
+ * edition with the highest version is in force. An edition with an equal or
+ * lower version is accepted but changes nothing. `struct rp_edition` is in
+ * rp_msg.h because it is part of the replicated log.
  */
 #ifndef RP_EDITION_H
 #define RP_EDITION_H
@@ -13,18 +13,21 @@
 #include "rp_error.h"
 #include "rp_msg.h"
 
-/* Virtual addresses of one edition; a balancer's table holds them all. */
+/* Maximum number of virtual addresses in an edition. A balancer's table holds
+ * all of them. */
 #define RP_EDITION_MAX_VIPS 20000
 
-/* Checks what an edition says as a whole, and adds a finding for each thing
- * that is wrong: a virtual address that leads to an unknown service, or that
- * stands there twice, without a share of flows, or with no time at all. */
+/* Checks an edition and adds a finding for each error: a service or an address
+ * that is listed twice, a target service that the edition does not list,
+ * target weights with an invalid sum, a missing port or timeout, or too many
+ * virtual addresses. Returns the code of one of the findings, or RP_OK. */
 enum rp_code RpEdition_Check(const struct rp_edition *edition,
                              struct rp_error *error);
 
-/* An edition without content; clear it with RpEdition_Clear. */
+/* Initialises an empty edition; free its contents with RpEdition_Clear. */
 void RpEdition_Init(struct rp_edition *edition);
 
+/* Frees the edition's contents and zeroes it. */
 void RpEdition_Clear(struct rp_edition *edition);
 
 #endif
--- a/tests/unit/test_edition.c
+++ b/tests/unit/test_edition.c
@@ -1,5 +1,5 @@
-/* Editions: bodies that carry them, what is refused, which one is in force,
- * and what nodes are sent when it changes. */
+/* Tests of editions: decoding and checking of bodies, which edition is in
+ * force, and what nodes are sent when it changes. */
 #include <glib.h>
 #include <string.h>
 
@@ -40,26 +40,28 @@
     return code == RP_OK ? checked : code;
 }
 
-/* Bodies with all findings that each must get. */
+/* Bodies, and the findings that each must produce, in order. */
 static void
-test_bodies(void **state)
+test_decode_and_check(void **state)
 {
     static const struct {
         const char *body;
-        const char *findings;
+        const char *expected;
     } cases[] = {
         {one_route, ""},
         {two_routes, ""},
         {EDITION("1", ""), ""},
         {EDITION("1", ROUTE("10.1.0.1", "443", "0", "lens")),
-         "routes[0]: its timeout is 0\n"},
+         "routes[0]: timeout must be at least 1 ms\n"},
         {EDITION("1", ROUTE("10.1.0.1", "443", "5", "desk")),
-         "routes[0]: leads to an unknown service: desk\n"},
+         "routes[0]: target is not a service of this edition: desk\n"},
         {EDITION("1", ROUTE("10.1.0.1", "443", "5", "lens") "," ROUTE(
                           "10.1.0.1", "443", "6", "shelf")),
-         "routes[1]: address is taken by another entry: 10.1.0.1:443\n"},
+         "routes[1]: address is already used by another virtual address: "
+         "10.1.0.1:443\n"},
         {EDITION("1", SPLIT("10.1.0.1", "443", "0", "0")),
-         "routes[0]: its weights do not add up to a share\n"},
+         "routes[0]: sum of target weights is 0, must be from 1 to "
+         "4294967295\n"},
         {EDITION("1", SPLIT("10.1.0.1", "443", "-1", "2")),
          "routes[0]: weight is missing or no whole number in range\n"},
         {EDITION("0", ""), "configuration: version is not above 0\n"},
@@ -68,7 +70,7 @@
          "configuration: version is not above 0\n"
          "routes[0]: host is no IPv4 address\n"
          "routes[0]: path-prefix is no port between slashes\n"
-         "routes[0]: has no port\n"},
+         "routes[0]: port must be from 1 to 65535\n"},
         {"{\"version\":3}", "configuration: services is missing or no list\n"
                             "configuration: routes is missing or no list\n"},
         {"{\"version\":3,\"services\":[7],\"routes\":[null]}",
@@ -84,7 +86,7 @@
         RpError_Init(&error);
         enum rp_code code = decode(cases[i].body, &edition, &error);
         RpError_Format(&error, text);
-        assert_string_equal(text->str, cases[i].findings);
+        assert_string_equal(text->str, cases[i].expected);
         assert_int_equal(code == RP_OK, text->len == 0);
         RpError_Clear(&error);
         RpEdition_Clear(&edition);
@@ -92,14 +94,14 @@
     }
 }
 
-/* Each beginning of a body is refused: none of them is the whole. */
+/* A body that is truncated at any length must be refused. */
 static void
-test_cut_bodies(void **state)
+test_truncated_bodies(void **state)
 {
-    size_t whole = strlen(two_routes);
+    size_t body_len = strlen(two_routes);
 
     (void)state;
-    for (size_t len = 0; len < whole; len++) {
+    for (size_t len = 0; len < body_len; len++) {
         struct rp_edition edition;
         struct rp_str part = {.data = two_routes, .len = len};
         assert_int_not_equal(RpPlatform_DecodeEdition(part, &edition, NULL),
@@ -125,8 +127,8 @@
 }
 
 static void
-expect(struct rp_catalog *catalog, const char *body, enum rp_code code,
-       bool repeated, uint64_t version)
+apply_and_check(struct rp_catalog *catalog, const char *body,
+                enum rp_code code, bool repeated, uint64_t version)
 {
     struct rp_msg_change_reply reply = apply(catalog, body);
     const struct rp_edition *edition = RpCatalog_Edition(catalog);
@@ -147,8 +149,9 @@
     return entry ? entry->id : 0;
 }
 
-/* The highest version is in force; equal and lower ones are accepted and
- * change nothing; bad ones change nothing. Services keep their ids. */
+/* The edition with the highest version is in force. Equal and lower versions
+ * are accepted but change nothing. Invalid editions are refused and change
+ * nothing. Services keep their ids. */
 static void
 test_versions(void **state)
 {
@@ -156,44 +159,46 @@
 
     (void)state;
     assert_null(RpCatalog_Edition(catalog));
-    expect(catalog, one_route, RP_OK, false, 7);
+    apply_and_check(catalog, one_route, RP_OK, false, 7);
     uint32_t lens = id_of(catalog, "lens");
-    expect(catalog, one_route, RP_OK, true, 7);
-    expect(catalog, EDITION("7", ""), RP_OK, true, 7);
+    apply_and_check(catalog, one_route, RP_OK, true, 7);
+    apply_and_check(catalog, EDITION("7", ""), RP_OK, true, 7);
     assert_string_equal(RpCatalog_Edition(catalog)->content->str, one_route);
-    expect(catalog, two_routes, RP_OK, false, 9);
-    expect(catalog, one_route, RP_OK, true, 9);
-    expect(catalog, EDITION("12", ROUTE("10.1.0.1", "1", "0", "lens")),
-           RP_ERR_DOCUMENT, false, 9);
+    apply_and_check(catalog, two_routes, RP_OK, false, 9);
+    apply_and_check(catalog, one_route, RP_OK, true, 9);
+    apply_and_check(catalog,
+                    EDITION("12", ROUTE("10.1.0.1", "1", "0", "lens")),
+                    RP_ERR_DOCUMENT, false, 9);
     assert_string_equal(RpCatalog_Edition(catalog)->content->str, two_routes);
     assert_int_equal(id_of(catalog, "lens"), lens);
     uint64_t before = RpCatalog_Revision(catalog);
-    expect(catalog,
-           "{\"version\":13,\"routes\":[],\"services\":[{\"name\":\"new\"}]}",
-           RP_OK, false, 13);
+    apply_and_check(
+        catalog,
+        "{\"version\":13,\"routes\":[],\"services\":[{\"name\":\"new\"}]}",
+        RP_OK, false, 13);
     assert_int_equal(id_of(catalog, "lens"), 0);
     assert_int_not_equal(id_of(catalog, "new"), 0);
     assert_int_equal(RpCatalog_Revision(catalog), before + 1);
     RpCatalog_Free(catalog);
 }
 
-/* A snapshot holds the edition, its content and its services' ids. */
+/* A snapshot holds the edition, its content and the ids of its services. */
 static void
-test_snapshot(void **state)
+test_snapshot_round_trip(void **state)
 {
     struct rp_catalog *catalog = RpCatalog_Create();
     struct rp_catalog *copy = RpCatalog_Create();
 
     (void)state;
-    expect(catalog, one_route, RP_OK, false, 7);
-    expect(catalog, two_routes, RP_OK, false, 9);
+    apply_and_check(catalog, one_route, RP_OK, false, 7);
+    apply_and_check(catalog, two_routes, RP_OK, false, 9);
     GString *bytes = RpCatalog_Snapshot(catalog);
     struct rp_str view = {.data = bytes->str, .len = bytes->len};
     assert_int_equal(RpCatalog_Restore(copy, view), RP_OK);
     assert_string_equal(RpCatalog_Edition(copy)->content->str, two_routes);
     assert_int_equal(id_of(copy, "lens"), id_of(catalog, "lens"));
     assert_int_equal(id_of(copy, "shelf"), id_of(catalog, "shelf"));
-    expect(copy, two_routes, RP_OK, true, 9);
+    apply_and_check(copy, two_routes, RP_OK, true, 9);
     GString *again = RpCatalog_Snapshot(copy);
     assert_true(g_string_equal(bytes, again));
     g_string_free(bytes, TRUE);
@@ -202,9 +207,9 @@
     RpCatalog_Free(copy);
 }
 
-/* A service has either a document or a place in the edition. */
+/* A service cannot have a document and be in the edition at the same time. */
 static void
-test_documents_beside(void **state)
+test_document_conflicts(void **state)
 {
     struct rp_catalog *catalog = RpCatalog_Create();
     struct rp_msg_change change = {
@@ -218,10 +223,10 @@
     GString *command = RpCatalog_EncodeChange(&change);
     struct rp_str view = {.data = command->str, .len = command->len};
     RpCatalog_Apply(catalog, view, NULL);
-    expect(catalog, one_route, RP_ERR_DOCUMENT, false, 0);
+    apply_and_check(catalog, one_route, RP_ERR_DOCUMENT, false, 0);
     RpCatalog_Free(catalog);
     catalog = RpCatalog_Create();
-    expect(catalog, one_route, RP_OK, false, 7);
+    apply_and_check(catalog, one_route, RP_OK, false, 7);
     RpCatalog_Apply(catalog, view, &reply);
     assert_int_equal(reply.code, RP_ERR_DOCUMENT);
     RpSchema_Clear(&rp_msg_change_reply_schema, &reply);
@@ -230,7 +235,8 @@
     RpCatalog_Free(catalog);
 }
 
-/* What the last message to a node held. */
+/* The number of messages to a node, the list lengths of the last one, and the
+ * node's table. */
 struct sent {
     uint32_t count;
     uint32_t vips;
@@ -241,7 +247,7 @@
 };
 
 static void
-on_send(void *user, uint64_t connection, const struct rp_msg *msg)
+record_message(void *user, uint64_t connection, const struct rp_msg *msg)
 {
     struct sent *sent = (struct sent *)user + connection;
 
@@ -267,8 +273,8 @@
 }
 
 static bool
-leads_to(const struct rp_table *table, uint32_t ip, uint16_t port,
-         const char *service)
+resolves_to(const struct rp_table *table, uint32_t ip, uint16_t port,
+            const char *service)
 {
     const struct rp_service *found = RpTable_Resolve(
         table, (struct rp_endpoint){.ip = ip, .port = port}, 12345);
@@ -276,7 +282,8 @@
     return found ? !strcmp(found->name.data, service) : service[0] == '\0';
 }
 
-/* A changed edition costs each node only what differs and concerns it. */
+/* When the edition changes, each node is sent only the changed services and
+ * virtual addresses that are visible to it. */
 static void
 test_distribution(void **state)
 {
@@ -288,9 +295,9 @@
     (void)state;
     sent[1].table = RpTable_Create();
     sent[2].table = RpTable_Create();
-    expect(catalog, one_route, RP_OK, false, 7);
+    apply_and_check(catalog, one_route, RP_OK, false, 7);
     struct rp_distribution *distribution = RpDistribution_Create(
-        catalog, registry, on_send, sent);
+        catalog, registry, record_message, sent);
     RpDistribution_TouchAll(distribution, 0);
     RpDistribution_SetFresh(distribution, 0, true);
     subscribe(distribution, 1, "balancer-1", RP_ROLE_BALANCER, "");
@@ -298,31 +305,32 @@
     RpDistribution_Flush(distribution, later);
     assert_int_equal(sent[1].vips, 1);
     assert_int_equal(sent[2].vips, 0);
-    assert_true(leads_to(sent[1].table, 0x0a010001, 443, "lens"));
+    assert_true(resolves_to(sent[1].table, 0x0a010001, 443, "lens"));
 
-    expect(catalog, two_routes, RP_OK, false, 9);
+    apply_and_check(catalog, two_routes, RP_OK, false, 9);
     RpDistribution_TouchEdition(distribution, later);
     RpDistribution_Flush(distribution, 2 * later);
     assert_int_equal(sent[1].vips, 1);
     assert_int_equal(sent[1].services, 0);
     assert_int_equal(sent[2].vips, 1);
-    assert_true(leads_to(sent[1].table, 0x0a010001, 443, "lens"));
-    /* The agent of one service sees the other behind its address. */
+    assert_true(resolves_to(sent[1].table, 0x0a010001, 443, "lens"));
+    /* The agent of one service also gets the other service that shares its
+     * virtual address. */
     assert_int_equal(RpTable_Count(sent[2].table), 2);
 
-    expect(catalog,
-           "{\"version\":13,\"routes\":[" ROUTE(
-               "10.1.0.2", "80", "9",
-               "new") "],\"services\":[{\"name\":\"new\"}]}",
-           RP_OK, false, 13);
+    apply_and_check(catalog,
+                    "{\"version\":13,\"routes\":[" ROUTE(
+                        "10.1.0.2", "80", "9",
+                        "new") "],\"services\":[{\"name\":\"new\"}]}",
+                    RP_OK, false, 13);
     RpDistribution_TouchEdition(distribution, 2 * later);
     RpDistribution_Flush(distribution, 3 * later);
     assert_int_equal(sent[1].vips, 1);
     assert_int_equal(sent[1].removed_vips, 1);
     assert_int_equal(sent[1].services, 1);
     assert_int_equal(sent[1].removed, 2);
-    assert_true(leads_to(sent[1].table, 0x0a010001, 443, ""));
-    assert_true(leads_to(sent[1].table, 0x0a010002, 80, "new"));
+    assert_true(resolves_to(sent[1].table, 0x0a010001, 443, ""));
+    assert_true(resolves_to(sent[1].table, 0x0a010002, 80, "new"));
     assert_int_equal(RpTable_Revision(sent[1].table),
                      RpCatalog_Revision(catalog));
     RpDistribution_Free(distribution);
@@ -332,8 +340,8 @@
     RpTable_Free(sent[2].table);
 }
 
-/* A replica that has just started marks its tables, and sends whole ones
- * when upstreams have had their time. */
+/* A replica that has just started marks its tables as gathering, and sends
+ * full tables without the mark after RP_GATHER_US. */
 static void
 test_gathering_tables(void **state)
 {
@@ -343,9 +351,9 @@
 
     (void)state;
     sent[1].table = RpTable_Create();
-    expect(catalog, two_routes, RP_OK, false, 9);
+    apply_and_check(catalog, two_routes, RP_OK, false, 9);
     struct rp_distribution *distribution = RpDistribution_Create(
-        catalog, registry, on_send, sent);
+        catalog, registry, record_message, sent);
     RpDistribution_GatherUntil(distribution, RP_GATHER_US);
     RpDistribution_SetFresh(distribution, 0, true);
     subscribe(distribution, 1, "balancer-1", RP_ROLE_BALANCER, "");
@@ -364,7 +372,8 @@
     RpTable_Free(sent[1].table);
 }
 
-/* A virtual address gives each target its share of new flows. */
+/* Targets of a virtual address get new flows in proportion to their
+ * weights. */
 static void
 test_weights(void **state)
 {
@@ -375,9 +384,9 @@
 
     (void)state;
     sent[1].table = RpTable_Create();
-    expect(catalog, two_routes, RP_OK, false, 9);
+    apply_and_check(catalog, two_routes, RP_OK, false, 9);
     struct rp_distribution *distribution = RpDistribution_Create(
-        catalog, registry, on_send, sent);
+        catalog, registry, record_message, sent);
     RpDistribution_SetFresh(distribution, 0, true);
     subscribe(distribution, 1, "balancer-1", RP_ROLE_BALANCER, "");
     RpDistribution_Flush(distribution, 0);
@@ -400,11 +409,11 @@
 main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_bodies),
-        cmocka_unit_test(test_cut_bodies),
+        cmocka_unit_test(test_decode_and_check),
+        cmocka_unit_test(test_truncated_bodies),
         cmocka_unit_test(test_versions),
-        cmocka_unit_test(test_snapshot),
-        cmocka_unit_test(test_documents_beside),
+        cmocka_unit_test(test_snapshot_round_trip),
+        cmocka_unit_test(test_document_conflicts),
         cmocka_unit_test(test_distribution),
         cmocka_unit_test(test_gathering_tables),
         cmocka_unit_test(test_weights),
