--- a/lib/control/rp_host.c
+++ b/lib/control/rp_host.c
@@ -1,3 +1,4 @@
+/* Ordering of host reports: which are stale, and which start a new run. */
 #include "rp_host.h"
 
 void
@@ -20,9 +21,10 @@
     return host->known && !host->left && now < RpHost_SilenceDeadline(host);
 }
 
-/* Whether a report is of another life than the one that is known. */
+/* Returns whether the report belongs to another run than the last report. The
+ * ids decide if one of the start times is unknown. */
 static bool
-is_other_life(const struct rp_host *host, const struct rp_host_report *report)
+is_other_run(const struct rp_host *host, const struct rp_host_report *report)
 {
     if (report->born_ms != 0 && host->last.born_ms != 0) {
         return report->born_ms != host->last.born_ms;
@@ -30,12 +32,13 @@
     return !RpName_Equal(&report->id, &host->last.id);
 }
 
-/* Whether a report of another life is of a later one. The time of day may
- * have been stepped back between the two: a host that is not heard any more
- * is followed by whoever reports. */
+/* Returns whether a report of another run belongs to a later run. The host's
+ * wall clock may have been set back between two runs, so that the later run
+ * has the earlier start time. Such a report is accepted if the known run has
+ * timed out or said goodbye and the report has another id. */
 static bool
-is_later_life(const struct rp_host *host, int64_t now,
-              const struct rp_host_report *report)
+is_later_run(const struct rp_host *host, int64_t now,
+             const struct rp_host_report *report)
 {
     if (report->born_ms > host->last.born_ms || host->last.born_ms == 0) {
         return true;
@@ -45,7 +48,8 @@
 }
 
 static void
-take(struct rp_host *host, int64_t now, const struct rp_host_report *report)
+accept_report(struct rp_host *host, int64_t now,
+              const struct rp_host_report *report)
 {
     host->known = true;
     host->last = *report;
@@ -60,25 +64,26 @@
         return RP_HOST_NEWS_FOREIGN;
     }
     if (!host->known) {
-        take(host, now, report);
+        accept_report(host, now, report);
         return RP_HOST_NEWS_STARTED;
     }
-    if (is_other_life(host, report)) {
-        if (!is_later_life(host, now, report)) {
+    if (is_other_run(host, report)) {
+        if (!is_later_run(host, now, report)) {
             return RP_HOST_NEWS_STALE;
         }
         host->left = false;
-        take(host, now, report);
+        accept_report(host, now, report);
         return RP_HOST_NEWS_STARTED;
     }
     if (host->left || report->sequence <= host->last.sequence) {
         return RP_HOST_NEWS_STALE;
     }
-    bool same = report->draining == host->last.draining &&
-                report->slots == host->last.slots &&
-                (report->cold_left_ms > 0) == (host->last.cold_left_ms > 0);
-    take(host, now, report);
-    return same ? RP_HOST_NEWS_SAME : RP_HOST_NEWS_CHANGED;
+    bool unchanged = report->draining == host->last.draining &&
+                     report->slots == host->last.slots &&
+                     (report->cold_left_ms > 0) ==
+                         (host->last.cold_left_ms > 0);
+    accept_report(host, now, report);
+    return unchanged ? RP_HOST_NEWS_SAME : RP_HOST_NEWS_CHANGED;
 }
 
 bool
--- a/lib/control/rp_host.h
+++ b/lib/control/rp_host.h
@@ -1,11 +1,13 @@
-/* What an agent believes of the host beside it, by the host's own reports.
+/* Tracks the state of the host that an agent serves, from the host's reports.
  *
- * A host reports itself again and again. Reports may come late, twice, from
- * an earlier life of the host, or from somebody else's host; they may also
- * stop. A life of the host is told by when it started (`born`), for its
- * sequence numbers start anew in each.
+ * A host sends reports periodically. A report may arrive late or twice, or
+ * come from an earlier run of the host or from a host of another service, and
+ * reports may stop. A run is the time from one start of the host process to
+ * its end. Runs are told apart by their start time (`born_ms`), because the
+ * sequence numbers of reports restart in each run.
  *
- * Nothing here does I/O or reads a clock.
+ * Nothing here does I/O or reads a clock. All times are microseconds on one
+ * monotonic clock, unless a name says otherwise.
  */
 #ifndef RP_HOST_H
 #define RP_HOST_H
@@ -17,55 +19,58 @@
 #include "rp_str.h"
 #include "rp_time.h"
 
-/* Reports that may be missed in a row before the host counts as unheard. */
+/* The host times out after this many report intervals without a report. */
 #define RP_HOST_MISSED_REPORTS 3
-/* A sequence number up to this one belongs to the first report of a life. */
+/* The first report of a run has at most this sequence number. */
 #define RP_HOST_FIRST_SEQUENCE 1
 
-/* One report, as the adapter decoded it. */
+/* A decoded report. */
 struct rp_host_report {
-    struct rp_name id;      /* of this life of the host */
-    struct rp_name service; /* the service that it belongs to */
-    uint64_t born_ms;       /* its start by its own time of day; 0: not said */
-    uint64_t sequence;      /* grows with each report of one life */
-    uint32_t slots;         /* requests that it serves at once */
-    uint32_t cold_left_ms;  /* how much longer it is slow after its start */
+    struct rp_name id;      /* of this run of the host */
+    struct rp_name service; /* that the host belongs to */
+    uint64_t born_ms;  /* start time by the host's wall clock; 0: unknown */
+    uint64_t sequence; /* increases with each report of a run */
+    uint32_t slots;    /* requests that the host serves at the same time */
+    uint32_t cold_left_ms; /* remaining time of its cold start */
     bool draining;
 };
 
+/* What RpHost_Report did with a report. */
 enum rp_host_news {
-    RP_HOST_NEWS_STALE,   /* older than what is known: not taken */
-    RP_HOST_NEWS_FOREIGN, /* of another service's host: not taken */
-    RP_HOST_NEWS_SAME,    /* taken; nothing changed but its age */
-    RP_HOST_NEWS_CHANGED, /* taken: state, slots or cold start changed */
-    RP_HOST_NEWS_STARTED  /* taken: the first report of a life */
+    RP_HOST_NEWS_STALE,   /* ignored: not newer than the last report */
+    RP_HOST_NEWS_FOREIGN, /* ignored: from a host of another service */
+    RP_HOST_NEWS_SAME,    /* accepted; nothing changed but its time */
+    RP_HOST_NEWS_CHANGED, /* accepted; draining, slots or the end of the cold
+                             start changed */
+    RP_HOST_NEWS_STARTED  /* accepted; first report of a run */
 };
 
 struct rp_host {
-    struct rp_name service; /* whose hosts are accepted */
+    struct rp_name service; /* reports of other services are ignored */
     int64_t report_interval;
-    bool known; /* there has been a report */
-    bool left;  /* it said goodbye since */
+    bool known; /* a report has been accepted */
+    bool left;  /* the host has said goodbye since its last report */
     struct rp_host_report last;
-    int64_t heard;
+    int64_t heard; /* time of the last report or goodbye */
 };
 
-/* A host of this service that has not been heard of. It reports about every
- * `report_interval` microseconds. */
+/* Initialises the state of a host of this service that has not sent a report
+ * yet. It sends one about every `report_interval` microseconds. */
 void RpHost_Init(struct rp_host *host, const struct rp_name *service,
                  int64_t report_interval);
 
-/* Takes a report, if it is news. */
+/* Handles a report: stores it if it is newer than the last one. */
 enum rp_host_news RpHost_Report(struct rp_host *host, int64_t now,
                                 const struct rp_host_report *report);
 
-/* The host with this id says goodbye; false if it is not the present one. */
+/* Handles a host's goodbye. Returns false, and changes nothing, if `id` is not
+ * the id of the current run. */
 bool RpHost_Leave(struct rp_host *host, int64_t now, const struct rp_name *id);
 
-/* Whether the host has been heard lately enough to get new flows. */
+/* Returns whether the host has reported recently enough to get new flows. */
 bool RpHost_IsHeard(const struct rp_host *host, int64_t now);
 
-/* When it counts as unheard if no report comes. */
+/* Returns when the host times out if it sends no report before. */
 int64_t RpHost_SilenceDeadline(const struct rp_host *host);
 
 #endif
--- a/tests/unit/test_host.c
+++ b/tests/unit/test_host.c
@@ -1,5 +1,5 @@
-/* Hosts that report themselves: a table of reports and what each must mean,
- * and the bodies that carry them. */
+/* Tests of host reports: sequences of reports with the result of each, and
+ * decoding of report bodies. */
 #include <glib.h>
 #include <string.h>
 
@@ -10,7 +10,7 @@
 #define INTERVAL_US (1200 * RP_US_PER_MS)
 
 static struct rp_name
-name_of(const char *text)
+make_name(const char *text)
 {
     struct rp_name name;
 
@@ -18,112 +18,122 @@
     return name;
 }
 
-/* One event of a script: a report (or a goodbye, when `leaves` is set) and
- * what must follow from it. */
-struct step {
+/* One event of a sequence, a report or a goodbye, and the result that it must
+ * have. */
+struct event {
     uint32_t at_ms;
     const char *id;
-    const char *service; /* NULL: the agent's own */
+    const char *service; /* NULL: the agent's service */
     uint64_t born;
     uint64_t sequence;
     bool draining;
-    bool leaves;
+    bool goodbye;           /* false: a report */
     enum rp_host_news news; /* of a report */
-    bool heard;             /* the host may get new flows afterwards */
+    bool heard;             /* whether the host may get new flows afterwards */
 };
 
 static void
-play(const char *title, const struct step *steps, size_t count)
+run_events(const char *title, const struct event *events, size_t count)
 {
-    struct rp_name service = name_of("lens-desk");
+    struct rp_name service = make_name("lens-desk");
     struct rp_host host;
 
     RpHost_Init(&host, &service, INTERVAL_US);
     for (size_t i = 0; i < count; i++) {
-        const struct step *step = &steps[i];
-        int64_t now = step->at_ms * RP_US_PER_MS;
+        const struct event *event = &events[i];
+        int64_t now = event->at_ms * RP_US_PER_MS;
         const struct rp_host_report report = {
-            .id = name_of(step->id),
-            .service = step->service ? name_of(step->service) : service,
-            .born_ms = step->born,
-            .sequence = step->sequence,
+            .id = make_name(event->id),
+            .service = event->service ? make_name(event->service) : service,
+            .born_ms = event->born,
+            .sequence = event->sequence,
             .slots = 7,
-            .draining = step->draining};
+            .draining = event->draining};
 
-        if (step->leaves) {
+        if (event->goodbye) {
             RpHost_Leave(&host, now, &report.id);
         }
         else {
             enum rp_host_news news = RpHost_Report(&host, now, &report);
-            if (news != step->news) {
-                fail_msg("%s, step %zu: news %d", title, i, news);
+            if (news != event->news) {
+                fail_msg("%s, event %zu: news %d, expected %d", title, i, news,
+                         event->news);
             }
         }
-        if (RpHost_IsHeard(&host, now) != step->heard) {
-            fail_msg("%s, step %zu: heard %d", title, i, !step->heard);
+        if (RpHost_IsHeard(&host, now) != event->heard) {
+            fail_msg("%s, event %zu: heard %d, expected %d", title, i,
+                     !event->heard, event->heard);
         }
     }
 }
 
-#define PLAY(title, ...)                                                      \
+#define RUN_EVENTS(title, ...)                                                \
     do {                                                                      \
-        static const struct step steps[] = {__VA_ARGS__};                     \
-        play(title, steps, G_N_ELEMENTS(steps));                              \
+        static const struct event events[] = {__VA_ARGS__};                   \
+        run_events(title, events, G_N_ELEMENTS(events));                      \
     } while (0)
 
 static void
-test_reports(void **state)
+test_report_sequences(void **state)
 {
     (void)state;
-    PLAY("an ordinary life",
-         {0, "i-1", NULL, 100, 1, false, false, RP_HOST_NEWS_STARTED, true},
-         {1200, "i-1", NULL, 100, 2, false, false, RP_HOST_NEWS_SAME, true},
-         {2400, "i-1", NULL, 100, 3, true, false, RP_HOST_NEWS_CHANGED, true},
-         {3000, "i-1", NULL, 100, 0, false, true, RP_HOST_NEWS_SAME, false},
-         {3100, "i-1", NULL, 100, 4, false, false, RP_HOST_NEWS_STALE, false});
-    PLAY("late and doubled reports",
-         {0, "i-1", NULL, 100, 5, false, false, RP_HOST_NEWS_STARTED, true},
-         {10, "i-1", NULL, 100, 5, true, false, RP_HOST_NEWS_STALE, true},
-         {20, "i-1", NULL, 100, 4, true, false, RP_HOST_NEWS_STALE, true},
-         {30, "i-1", NULL, 100, 6, true, false, RP_HOST_NEWS_CHANGED, true},
-         {40, "i-1", NULL, 100, 5, false, false, RP_HOST_NEWS_STALE, true});
-    PLAY("another service's host",
-         {0, "i-9", "photo-shelf", 100, 1, false, false, RP_HOST_NEWS_FOREIGN,
-          false},
-         {10, "i-1", NULL, 90, 1, false, false, RP_HOST_NEWS_STARTED, true},
-         {20, "i-9", "photo-shelf", 200, 9, true, false, RP_HOST_NEWS_FOREIGN,
-          true},
-         {30, "i-9", NULL, 90, 9, false, true, RP_HOST_NEWS_SAME, true});
-    PLAY("a new life under a new id",
-         {0, "i-1", NULL, 100, 8, false, false, RP_HOST_NEWS_STARTED, true},
-         {900, "i-2", NULL, 200, 1, false, false, RP_HOST_NEWS_STARTED, true},
-         {950, "i-1", NULL, 100, 9, true, false, RP_HOST_NEWS_STALE, true});
-    PLAY("a new life under the old id: its numbers start anew",
-         {0, "i-1", NULL, 100, 8, false, false, RP_HOST_NEWS_STARTED, true},
-         {900, "i-1", NULL, 200, 1, false, false, RP_HOST_NEWS_STARTED, true},
-         {950, "i-1", NULL, 100, 9, true, false, RP_HOST_NEWS_STALE, true},
-         {990, "i-1", NULL, 200, 2, false, false, RP_HOST_NEWS_SAME, true});
-    PLAY("silence, then the same life again",
-         {0, "i-1", NULL, 100, 1, false, false, RP_HOST_NEWS_STARTED, true},
-         {9000, "i-1", NULL, 100, 2, false, false, RP_HOST_NEWS_SAME, true});
-    PLAY("born earlier by a clock that was stepped back: only once the one "
-         "before is not heard any more",
-         {0, "i-1", NULL, 100, 1, false, false, RP_HOST_NEWS_STARTED, true},
-         {500, "i-2", NULL, 50, 1, false, false, RP_HOST_NEWS_STALE, true},
-         {3700, "i-2", NULL, 50, 2, false, false, RP_HOST_NEWS_STARTED, true});
-    PLAY("after a goodbye the next life counts",
-         {0, "i-1", NULL, 100, 1, false, false, RP_HOST_NEWS_STARTED, true},
-         {10, "i-1", NULL, 100, 0, false, true, RP_HOST_NEWS_SAME, false},
-         {20, "i-2", NULL, 300, 1, false, false, RP_HOST_NEWS_STARTED, true});
+    RUN_EVENTS(
+        "reports and a goodbye of one run",
+        {0, "i-1", NULL, 100, 1, false, false, RP_HOST_NEWS_STARTED, true},
+        {1200, "i-1", NULL, 100, 2, false, false, RP_HOST_NEWS_SAME, true},
+        {2400, "i-1", NULL, 100, 3, true, false, RP_HOST_NEWS_CHANGED, true},
+        {3000, "i-1", NULL, 100, 0, false, true, RP_HOST_NEWS_SAME, false},
+        {3100, "i-1", NULL, 100, 4, false, false, RP_HOST_NEWS_STALE, false});
+    RUN_EVENTS(
+        "late and repeated reports are stale",
+        {0, "i-1", NULL, 100, 5, false, false, RP_HOST_NEWS_STARTED, true},
+        {10, "i-1", NULL, 100, 5, true, false, RP_HOST_NEWS_STALE, true},
+        {20, "i-1", NULL, 100, 4, true, false, RP_HOST_NEWS_STALE, true},
+        {30, "i-1", NULL, 100, 6, true, false, RP_HOST_NEWS_CHANGED, true},
+        {40, "i-1", NULL, 100, 5, false, false, RP_HOST_NEWS_STALE, true});
+    RUN_EVENTS(
+        "reports of another service's host are ignored",
+        {0, "i-9", "photo-shelf", 100, 1, false, false, RP_HOST_NEWS_FOREIGN,
+         false},
+        {10, "i-1", NULL, 90, 1, false, false, RP_HOST_NEWS_STARTED, true},
+        {20, "i-9", "photo-shelf", 200, 9, true, false, RP_HOST_NEWS_FOREIGN,
+         true},
+        {30, "i-9", NULL, 90, 9, false, true, RP_HOST_NEWS_SAME, true});
+    RUN_EVENTS(
+        "a new run with a new id",
+        {0, "i-1", NULL, 100, 8, false, false, RP_HOST_NEWS_STARTED, true},
+        {900, "i-2", NULL, 200, 1, false, false, RP_HOST_NEWS_STARTED, true},
+        {950, "i-1", NULL, 100, 9, true, false, RP_HOST_NEWS_STALE, true});
+    RUN_EVENTS(
+        "a new run with the same id restarts the sequence numbers",
+        {0, "i-1", NULL, 100, 8, false, false, RP_HOST_NEWS_STARTED, true},
+        {900, "i-1", NULL, 200, 1, false, false, RP_HOST_NEWS_STARTED, true},
+        {950, "i-1", NULL, 100, 9, true, false, RP_HOST_NEWS_STALE, true},
+        {990, "i-1", NULL, 200, 2, false, false, RP_HOST_NEWS_SAME, true});
+    RUN_EVENTS(
+        "the same run reports again after a timeout",
+        {0, "i-1", NULL, 100, 1, false, false, RP_HOST_NEWS_STARTED, true},
+        {9000, "i-1", NULL, 100, 2, false, false, RP_HOST_NEWS_SAME, true});
+    RUN_EVENTS(
+        "a run with an earlier start time, after the wall clock was set back, "
+        "is accepted only once the previous run has timed out",
+        {0, "i-1", NULL, 100, 1, false, false, RP_HOST_NEWS_STARTED, true},
+        {500, "i-2", NULL, 50, 1, false, false, RP_HOST_NEWS_STALE, true},
+        {3700, "i-2", NULL, 50, 2, false, false, RP_HOST_NEWS_STARTED, true});
+    RUN_EVENTS(
+        "a new run is accepted after a goodbye",
+        {0, "i-1", NULL, 100, 1, false, false, RP_HOST_NEWS_STARTED, true},
+        {10, "i-1", NULL, 100, 0, false, true, RP_HOST_NEWS_SAME, false},
+        {20, "i-2", NULL, 300, 1, false, false, RP_HOST_NEWS_STARTED, true});
 }
 
 static void
-test_silence(void **state)
+test_timeout(void **state)
 {
-    struct rp_name service = name_of("lens-desk");
+    struct rp_name service = make_name("lens-desk");
     struct rp_host host;
     const struct rp_host_report report = {
-        .id = name_of("i-1"), .service = service, .sequence = 1, .slots = 7};
+        .id = make_name("i-1"), .service = service, .sequence = 1, .slots = 7};
 
     (void)state;
     RpHost_Init(&host, &service, INTERVAL_US);
@@ -134,13 +144,13 @@
     assert_false(RpHost_IsHeard(&host, 3 * INTERVAL_US));
 }
 
-/* Bodies of reports, with all findings that each must get. */
+/* Report bodies, and the findings that each must produce, in order. */
 static void
-test_report_bodies(void **state)
+test_decode_reports(void **state)
 {
     static const struct {
         const char *body;
-        const char *findings;
+        const char *expected;
     } cases[] = {
         {"{\"service\":\"lens\",\"address\":\"10.0.0.1:80\",\"zone\":\"z\","
          "\"version\":\"v1\",\"slots\":7,\"state\":\"ready\","
@@ -180,7 +190,7 @@
         enum rp_code code = RpPlatform_DecodeReport(
             RP_STR("i-1"), RpStr_FromC(cases[i].body), &report, &error);
         RpError_Format(&error, text);
-        assert_string_equal(text->str, cases[i].findings);
+        assert_string_equal(text->str, cases[i].expected);
         assert_int_equal(code == RP_OK, text->len == 0);
         RpError_Clear(&error);
         g_string_free(text, TRUE);
@@ -188,7 +198,7 @@
 }
 
 static void
-test_unreadable_body(void **state)
+test_invalid_json(void **state)
 {
     struct rp_host_report report;
 
@@ -203,10 +213,10 @@
 main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_reports),
-        cmocka_unit_test(test_silence),
-        cmocka_unit_test(test_report_bodies),
-        cmocka_unit_test(test_unreadable_body),
+        cmocka_unit_test(test_report_sequences),
+        cmocka_unit_test(test_timeout),
+        cmocka_unit_test(test_decode_reports),
+        cmocka_unit_test(test_invalid_json),
     };
 
     return cmocka_run_group_tests(tests, NULL, NULL);
