--- a/lib/control/rp_standing.c
+++ b/lib/control/rp_standing.c
@@ -1,3 +1,4 @@
+/* Whether a replica keeps its nodes; see rp_standing.h for the rules. */
 #include "rp_standing.h"
 
 #include <glib.h>
--- a/lib/control/rp_standing.h
+++ b/lib/control/rp_standing.h
@@ -1,15 +1,18 @@
-/* A replica's standing: whether nodes are well served by it, and when those
- * that it has are sent to look for another one.
+/* Decides whether a replica accepts nodes, and when it disconnects its nodes
+ * so that they connect to another replica.
  *
- *   no log    it holds nothing, not even where the others are: it has lost
- *             its disk, or has not joined yet. It keeps no node.
- *   cut off   it holds a log, but has no majority behind it. Nodes stay for
- *             RP_SEND_AWAY_MIN_US, which an election takes at most; then
- *             they are sent away at growing intervals, since no other
- *             replica may be better off.
- *   fresh     it keeps its nodes.
+ *   no log    The replica has no state and does not know the addresses of the
+ *             other replicas, because it has lost its disk or has not joined
+ *             yet. It accepts no nodes.
+ *   cut off   The replica has a log, but its state is not confirmed by a
+ *             majority. It keeps its nodes for RP_SEND_AWAY_MIN_US, the
+ *             longest time that an election takes. After that it disconnects
+ *             them at increasing intervals, because the other replicas may
+ *             be cut off too.
+ *   fresh     The replica's state is confirmed by a majority. It keeps its
+ *             nodes.
  *
- * All times are in microseconds of one steady clock.
+ * All times are microseconds on one monotonic clock.
  */
 #ifndef RP_STANDING_H
 #define RP_STANDING_H
@@ -19,30 +22,35 @@
 
 #include "rp_time.h"
 
-/* The longest wait before a replica asks for votes: twice RP_ELECTION_US. */
+/* First wait before nodes are disconnected: twice RP_ELECTION_US, the longest
+ * time that a replica waits before it asks for votes. */
 #define RP_SEND_AWAY_MIN_US (1 * RP_US_PER_SECOND)
-/* Waits that double reach this after five minutes: in an hour, for which
- * regions may lose each other, nodes are sent away some 20 times. */
+/* Longest wait. The waits double and reach this value after five minutes, so
+ * that nodes are disconnected about 20 times in one hour, the time for which
+ * regions may lose contact with each other. */
 #define RP_SEND_AWAY_MAX_US (300 * RP_US_PER_SECOND)
 
 struct rp_standing {
     bool has_log;
     bool fresh;
     int64_t cut_off_since;
-    int64_t next_send_away;
+    int64_t next_send_away; /* when nodes are disconnected next */
 };
 
-/* A replica that has just started. */
+/* Initialises the state of a replica that has just started: no log, and cut
+ * off. */
 void RpStanding_Init(struct rp_standing *standing, int64_t now);
 
-/* Takes what is known now; true if it has become fresh or cut off. */
+/* Sets whether the replica has a log and is fresh. Returns true if it became
+ * fresh or cut off. */
 bool RpStanding_Update(struct rp_standing *standing, int64_t now, bool has_log,
                        bool fresh);
 
-/* Whether a node that subscribes now may stay. */
+/* Returns whether a node that subscribes now is accepted. */
 bool RpStanding_KeepsNodes(const struct rp_standing *standing);
 
-/* Whether to send all nodes away now; each time is told once. */
+/* Returns whether all nodes must be disconnected now, and schedules the next
+ * time. Without a log it returns true at each call. */
 bool RpStanding_SendsAway(struct rp_standing *standing, int64_t now);
 
 #endif
--- a/lib/control/rp_status.c
+++ b/lib/control/rp_status.c
@@ -1,7 +1,10 @@
+/* Replies to operators' queries. */
 #include "rp_status.h"
 
 #include <string.h>
 
+/* Adds an upstream to its service's row. LOST and GONE upstreams do not count
+ * towards the load. */
 static void
 count_upstream(struct rp_msg_service_info *row,
                const struct rp_upstream *upstream)
@@ -25,8 +28,8 @@
 }
 
 static void
-add_service(const struct rp_registry *registry, const struct rp_entry *entry,
-            GArray *rows)
+append_service(const struct rp_registry *registry,
+               const struct rp_entry *entry, GArray *rows)
 {
     struct rp_msg_service_info row = {.name = entry->name,
                                       .id = entry->id,
@@ -44,15 +47,15 @@
 
 static GArray *
 list_services(const struct rp_catalog *catalog,
-              const struct rp_registry *registry, const struct rp_name *only)
+              const struct rp_registry *registry, const struct rp_name *filter)
 {
     GArray *rows = RpSchema_NewList(&rp_msg_service_info_schema);
     GPtrArray *entries = RpCatalog_List(catalog);
 
     for (guint i = 0; i < entries->len; i++) {
         const struct rp_entry *entry = g_ptr_array_index(entries, i);
-        if (!only || RpName_Equal(&entry->name, only)) {
-            add_service(registry, entry, rows);
+        if (!filter || RpName_Equal(&entry->name, filter)) {
+            append_service(registry, entry, rows);
         }
     }
     g_ptr_array_unref(entries);
@@ -86,10 +89,11 @@
 }
 
 static GArray *
-list_upstreams(const struct rp_registry *registry, const struct rp_name *only)
+list_upstreams(const struct rp_registry *registry,
+               const struct rp_name *filter)
 {
     GArray *rows = RpSchema_NewList(&rp_msg_upstream_info_schema);
-    GPtrArray *list = RpRegistry_List(registry, only);
+    GPtrArray *list = RpRegistry_List(registry, filter);
 
     for (guint i = 0; i < list->len; i++) {
         const struct rp_upstream *upstream = g_ptr_array_index(list, i);
@@ -116,12 +120,12 @@
                 const struct rp_distribution *distribution, int64_t now,
                 const struct rp_name *service, struct rp_msg *msg)
 {
-    const struct rp_name *only = service && service->len ? service : NULL;
+    const struct rp_name *filter = service && service->len ? service : NULL;
 
     *msg = (struct rp_msg){.type = RP_MSG_STATUS};
     msg->status.revision = RpCatalog_Revision(catalog);
     msg->status.replicas = RpSchema_NewList(&rp_msg_replica_info_schema);
-    msg->status.services = list_services(catalog, registry, only);
+    msg->status.services = list_services(catalog, registry, filter);
     msg->status.nodes = RpDistribution_Nodes(distribution, now);
-    msg->status.upstreams = list_upstreams(registry, only);
+    msg->status.upstreams = list_upstreams(registry, filter);
 }
--- a/tests/unit/test_standing.c
+++ b/tests/unit/test_standing.c
@@ -1,5 +1,5 @@
-/* When a replica keeps its nodes and when it sends them away: a table of
- * what it knows at which time. */
+/* Tests when a replica keeps its nodes and when it disconnects them: a
+ * sequence of the replica's states over time. */
 #include <glib.h>
 
 #include "check.h"
@@ -7,39 +7,45 @@
 
 #define START (1000 * RP_US_PER_SECOND)
 
-/* One look at the replica, and what must follow for its nodes. */
+/* One state of the replica, and the decisions that must follow. */
 static const struct {
-    const char *what;
-    int64_t at_ms; /* after its start */
+    const char *title;
+    int64_t at_ms; /* time since the replica started */
     bool has_log;
     bool fresh;
     bool keeps;
     bool sends_away;
 } steps[] = {
-    {"an empty disk", 0, false, false, false, true},
-    {"and still empty: whoever came meanwhile goes", 20, false, false, false,
+    {"no log", 0, false, false, false, true},
+    {"still no log: disconnects nodes at each check", 20, false, false, false,
      true},
-    {"the log has come", 40, true, false, true, false},
-    {"a majority too", 60, true, true, true, false},
-    {"nothing to do while it is fresh", 9000, true, true, true, false},
-    {"cut off: an election may be all that is missing", 10000, true, false,
+    {"has a log but is not fresh yet", 40, true, false, true, false},
+    {"fresh", 60, true, true, true, false},
+    {"keeps its nodes while it is fresh", 9000, true, true, true, false},
+    {"cut off: waits for an election", 10000, true, false, true, false},
+    {"last moment before the minimum wait has passed", 10999, true, false,
      true, false},
-    {"the longest that nodes wait for it", 10999, true, false, true, false},
-    {"then they are sent away", 11000, true, false, true, true},
-    {"once", 11020, true, false, true, false},
-    {"at growing intervals", 12000, true, false, true, true},
-    {"2 s after 12 s", 13999, true, false, true, false},
-    {"2 s after 12 s", 14000, true, false, true, true},
-    {"4 s after 14 s", 17999, true, false, true, false},
-    {"4 s after 14 s", 18000, true, false, true, true},
+    {"first disconnection", 11000, true, false, true, true},
+    {"not again right after it", 11020, true, false, true, false},
+    {"second disconnection", 12000, true, false, true, true},
+    {"cut off for 2 s at 12 s: the next wait is 2 s", 13999, true, false, true,
+     false},
+    {"cut off for 2 s at 12 s: the next wait is 2 s", 14000, true, false, true,
+     true},
+    {"cut off for 4 s at 14 s: the next wait is 4 s", 17999, true, false, true,
+     false},
+    {"cut off for 4 s at 14 s: the next wait is 4 s", 18000, true, false, true,
+     true},
     {"fresh again", 18500, true, true, true, false},
-    {"cut off again: from the start", 19000, true, false, true, false},
-    {"cut off again: from the start", 20000, true, false, true, true},
-    {"its disk is replaced while it runs", 20020, false, false, false, true},
+    {"cut off again: the waits start again at the minimum", 19000, true, false,
+     true, false},
+    {"cut off again: the waits start again at the minimum", 20000, true, false,
+     true, true},
+    {"has lost its log while it runs", 20020, false, false, false, true},
 };
 
 static void
-test_keeps_and_sends_away(void **state)
+test_keeps_and_disconnects_nodes(void **state)
 {
     struct rp_standing standing;
 
@@ -53,16 +59,17 @@
         if (keeps != steps[i].keeps || sends_away != steps[i].sends_away) {
             print_error("%" G_GINT64_FORMAT " ms, %s: keeps=%d "
                         "sends_away=%d\n",
-                        steps[i].at_ms, steps[i].what, keeps, sends_away);
+                        steps[i].at_ms, steps[i].title, keeps, sends_away);
         }
         assert_int_equal(keeps, steps[i].keeps);
         assert_int_equal(sends_away, steps[i].sends_away);
     }
 }
 
-/* Each change between fresh and cut off is news once. */
+/* RpStanding_Update returns true exactly once for each change between fresh
+ * and cut off. */
 static void
-test_tells_changes_once(void **state)
+test_update_reports_each_change_once(void **state)
 {
     struct rp_standing standing;
 
@@ -78,8 +85,8 @@
 main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_keeps_and_sends_away),
-        cmocka_unit_test(test_tells_changes_once),
+        cmocka_unit_test(test_keeps_and_disconnects_nodes),
+        cmocka_unit_test(test_update_reports_each_change_once),
     };
 
     return cmocka_run_group_tests(tests, NULL, NULL);
