--- a/lib/control/rp_host.h
+++ b/lib/control/rp_host.h
@@ -37,7 +37,7 @@
 
 /* What RpHost_Report did with a report. */
 enum rp_host_news {
-    RP_HOST_NEWS_STALE,   /* ignored: not newer than the last report */
+    RP_HOST_NEWS_STALE,   /* ignored: not newer than the latest report */
     RP_HOST_NEWS_FOREIGN, /* ignored: from a host of another service */
     RP_HOST_NEWS_SAME,    /* accepted; nothing changed but its time */
     RP_HOST_NEWS_CHANGED, /* accepted; draining, slots or the end of the cold
@@ -49,9 +49,9 @@
     struct rp_name service; /* reports of other services are ignored */
     int64_t report_interval;
     bool known; /* a report has been accepted */
-    bool left;  /* the host has said goodbye since its last report */
+    bool left;  /* the host has said goodbye since its latest report */
     struct rp_host_report last;
-    int64_t heard; /* time of the last report or goodbye */
+    int64_t heard; /* time of the latest report or goodbye */
 };
 
 /* Initialises the state of a host of this service that has not sent a report
@@ -59,7 +59,7 @@
 void RpHost_Init(struct rp_host *host, const struct rp_name *service,
                  int64_t report_interval);
 
-/* Handles a report: stores it if it is newer than the last one. */
+/* Handles a report: stores it if it is newer than the stored one. */
 enum rp_host_news RpHost_Report(struct rp_host *host, int64_t now,
                                 const struct rp_host_report *report);
 
--- a/lib/control/rp_registry.h
+++ b/lib/control/rp_registry.h
@@ -30,8 +30,8 @@
  * for its open flows. */
 #define RP_REGISTRY_LOST_KEEP_US (600 * RP_US_PER_SECOND)
 #define RP_REGISTRY_MAX 65536 /* upstreams */
-/* How long after the last message from a replica its upstreams stay valid, so
- * that their agents can connect to another replica and announce them. */
+/* How long after the latest message from a replica its upstreams stay valid,
+ * so that their agents can connect to another replica and announce them. */
 #define RP_REGISTRY_MOVE_US (10 * RP_US_PER_SECOND)
 
 /* One upstream. */
@@ -45,7 +45,7 @@
 };
 
 enum rp_registry_change {
-    RP_REGISTRY_STALE,   /* ignored: not newer than the known announcement */
+    RP_REGISTRY_STALE,   /* ignored: not newer than the stored announcement */
     RP_REGISTRY_RENEWED, /* stored; nothing that tables contain changed */
     RP_REGISTRY_CHANGED, /* stored; tables or other replicas need an update */
     RP_REGISTRY_REFUSED  /* ignored: invalid, or the registry is full */
@@ -76,7 +76,7 @@
                           bool cut_off);
 
 /* Handles at most one upstream whose deadline has passed and returns true if
- * there was one. `*expired` receives its last announcement, with state LOST
+ * there was one. `*expired` receives its latest announcement, with state LOST
  * if its lease expired and GONE if it was removed. Call it until it returns
  * false. */
 bool RpRegistry_Expire(struct rp_registry *registry, int64_t now,
--- a/tests/unit/test_control.c
+++ b/tests/unit/test_control.c
@@ -326,9 +326,9 @@
             RpRegistry_Merge(registry, 0, &announces[i], NULL);
         }
         RpName_Set(&name, RP_STR("upstream-1"));
-        const struct rp_upstream *last = RpRegistry_Find(registry, &name);
-        assert_int_equal(last->last.incarnation, 3);
-        assert_int_equal(last->last.sequence, 4);
+        const struct rp_upstream *merged = RpRegistry_Find(registry, &name);
+        assert_int_equal(merged->last.incarnation, 3);
+        assert_int_equal(merged->last.sequence, 4);
         RpRegistry_Free(registry);
         g_rand_free(rng);
     }
--- a/tests/unit/test_standing.c
+++ b/tests/unit/test_standing.c
@@ -14,7 +14,7 @@
     bool has_log;
     bool fresh;
     bool keeps;
-    bool sends_away;
+    bool disconnects;
 } steps[] = {
     {"no log", 0, false, false, false, true},
     {"still no log: disconnects nodes at each check", 20, false, false, false,
@@ -47,22 +47,22 @@
 static void
 test_keeps_and_disconnects_nodes(void **state)
 {
-    struct rp_standing standing;
+    struct rp_standing policy;
 
     (void)state;
-    RpStanding_Init(&standing, START);
+    RpStanding_Init(&policy, START);
     for (size_t i = 0; i < G_N_ELEMENTS(steps); i++) {
         int64_t now = START + steps[i].at_ms * RP_US_PER_MS;
-        RpStanding_Update(&standing, now, steps[i].has_log, steps[i].fresh);
-        bool keeps = RpStanding_KeepsNodes(&standing);
-        bool sends_away = RpStanding_SendsAway(&standing, now);
-        if (keeps != steps[i].keeps || sends_away != steps[i].sends_away) {
+        RpStanding_Update(&policy, now, steps[i].has_log, steps[i].fresh);
+        bool keeps = RpStanding_KeepsNodes(&policy);
+        bool disconnects = RpStanding_SendsAway(&policy, now);
+        if (keeps != steps[i].keeps || disconnects != steps[i].disconnects) {
             print_error("%" G_GINT64_FORMAT " ms, %s: keeps=%d "
-                        "sends_away=%d\n",
-                        steps[i].at_ms, steps[i].title, keeps, sends_away);
+                        "disconnects=%d\n",
+                        steps[i].at_ms, steps[i].title, keeps, disconnects);
         }
         assert_int_equal(keeps, steps[i].keeps);
-        assert_int_equal(sends_away, steps[i].sends_away);
+        assert_int_equal(disconnects, steps[i].disconnects);
     }
 }
 
@@ -71,14 +71,14 @@
 static void
 test_update_reports_each_change_once(void **state)
 {
-    struct rp_standing standing;
+    struct rp_standing policy;
 
     (void)state;
-    RpStanding_Init(&standing, START);
-    assert_false(RpStanding_Update(&standing, START, false, false));
-    assert_true(RpStanding_Update(&standing, START, true, true));
-    assert_false(RpStanding_Update(&standing, START, true, true));
-    assert_true(RpStanding_Update(&standing, START, true, false));
+    RpStanding_Init(&policy, START);
+    assert_false(RpStanding_Update(&policy, START, false, false));
+    assert_true(RpStanding_Update(&policy, START, true, true));
+    assert_false(RpStanding_Update(&policy, START, true, true));
+    assert_true(RpStanding_Update(&policy, START, true, false));
 }
 
 int
