--- a/lib/control/rp_host.h
+++ b/lib/control/rp_host.h
@@ -28,9 +28,9 @@
 struct rp_host_report {
     struct rp_name id;      /* of this run of the host */
     struct rp_name service; /* that the host belongs to */
-    uint64_t born_ms;  /* start time by the host's wall clock; 0: unknown */
-    uint64_t sequence; /* increases with each report of a run */
-    uint32_t slots;    /* requests that the host serves at the same time */
+    uint64_t born_ms;       /* start, by the host's wall clock; 0: unknown */
+    uint64_t sequence;      /* increases with each report of a run */
+    uint32_t slots;        /* requests that the host serves at the same time */
     uint32_t cold_left_ms; /* remaining time of its cold start */
     bool draining;
 };
--- a/lib/control/rp_registry.c
+++ b/lib/control/rp_registry.c
@@ -97,7 +97,8 @@
            announce->lease_ms <= RP_LEASE_MAX_MS;
 }
 
-/* Returns whether the announcement changes a value that tables contain. */
+/* Returns whether the announcement changes the upstream's state, address,
+ * slots or service, so that tables must be updated. */
 static bool
 changes_table(const struct rp_upstream *known,
               const struct rp_msg_announce *announce)
@@ -137,7 +138,7 @@
     }
 }
 
-/* Replaces the upstream's announcement and keeps the service index. */
+/* Replaces the upstream's announcement and updates the service index. */
 static void
 store_announce(struct rp_registry *registry, struct rp_upstream *upstream,
                const struct rp_msg_announce *announce)
@@ -213,8 +214,8 @@
         if (RpAnnounce_Compare(announce, &known->last) <= 0) {
             return RP_REGISTRY_STALE;
         }
-        /* The other replicas must also learn that the agent is now connected
-         * to this replica. */
+        /* If another replica forwarded the upstream before, all replicas must
+         * learn that its agent is now connected to this one. */
         changed = changes_table(known, announce) ||
                   (!via && known->via.len > 0);
         store_announce(registry, known, announce);
--- a/lib/control/rp_registry.h
+++ b/lib/control/rp_registry.h
@@ -46,7 +46,7 @@
 
 enum rp_registry_change {
     RP_REGISTRY_STALE,   /* ignored: not newer than the stored announcement */
-    RP_REGISTRY_RENEWED, /* stored; nothing that tables contain changed */
+    RP_REGISTRY_RENEWED, /* stored; tables stay the same */
     RP_REGISTRY_CHANGED, /* stored; tables or other replicas need an update */
     RP_REGISTRY_REFUSED  /* ignored: invalid, or the registry is full */
 };
