--- a/tests/unit/test_host.c
+++ b/tests/unit/test_host.c
@@ -27,9 +27,9 @@
     uint64_t born;
     uint64_t sequence;
     bool draining;
-    bool goodbye;           /* false: a report */
-    enum rp_host_news news; /* of a report */
-    bool heard;             /* whether the host may get new flows afterwards */
+    bool goodbye;             /* false: a report */
+    enum rp_host_news result; /* of a report */
+    bool alive; /* whether the host may get new flows afterwards */
 };
 
 static void
@@ -54,15 +54,15 @@
             RpHost_Leave(&host, now, &report.id);
         }
         else {
-            enum rp_host_news news = RpHost_Report(&host, now, &report);
-            if (news != event->news) {
-                fail_msg("%s, event %zu: news %d, expected %d", title, i, news,
-                         event->news);
+            enum rp_host_news result = RpHost_Report(&host, now, &report);
+            if (result != event->result) {
+                fail_msg("%s, event %zu: result %d, expected %d", title, i,
+                         result, event->result);
             }
         }
-        if (RpHost_IsHeard(&host, now) != event->heard) {
-            fail_msg("%s, event %zu: heard %d, expected %d", title, i,
-                     !event->heard, event->heard);
+        if (RpHost_IsHeard(&host, now) != event->alive) {
+            fail_msg("%s, event %zu: alive %d, expected %d", title, i,
+                     !event->alive, event->alive);
         }
     }
 }
