--- a/lib/control/rp_host.h
+++ b/lib/control/rp_host.h
@@ -40,8 +40,7 @@
     RP_HOST_NEWS_STALE,   /* ignored: not newer than the latest report */
     RP_HOST_NEWS_FOREIGN, /* ignored: from a host of another service */
     RP_HOST_NEWS_SAME,    /* accepted; nothing changed but its time */
-    RP_HOST_NEWS_CHANGED, /* accepted; draining, slots or the end of the cold
-                             start changed */
+    RP_HOST_NEWS_CHANGED, /* accepted; state, slots or cold start changed */
     RP_HOST_NEWS_STARTED  /* accepted; first report of a run */
 };
 
--- a/lib/control/rp_registry.h
+++ b/lib/control/rp_registry.h
@@ -40,8 +40,8 @@
     enum rp_upstream_state state; /* LOST once the lease has expired */
     int64_t lease_deadline;
     int64_t drop_deadline; /* when a LOST or GONE upstream is removed */
-    struct rp_name via;    /* replica that its agent is connected to; empty:
-                              this replica */
+    /* The replica that the agent is connected to; empty: this replica. */
+    struct rp_name via;
 };
 
 enum rp_registry_change {
