--- a/lib/flow/rp_balancer.c
+++ b/lib/flow/rp_balancer.c
@@ -1,34 +1,36 @@
 #include "rp_balancer.h"
 
-/* Adds the best members of these states. Where the preferred zone has taken
- * all places but the last, that one goes to the best member of another zone:
- * a zone that is full must not keep its work to itself while others are
- * idle. */
+/* Appends the highest-ranked members whose state is in `states`.
+ *
+ * If all members appended before the last place are in the preferred zone,
+ * the best member of another zone gets the last place. Otherwise a flow could
+ * not reach idle members elsewhere when its own zone is full. */
 static void
-append_ranked(struct rp_chain *chain, const struct rp_service *service,
-              uint64_t hash, unsigned states)
+append_candidates(struct rp_chain *chain, const struct rp_service *service,
+                  uint64_t hash, unsigned states)
 {
     const struct rp_member *ranked[RP_MAX_CHAIN];
     size_t count = RpService_Rank(service, hash, states, ranked, RP_MAX_CHAIN);
-    bool all_near = true;
+    bool all_in_zone = true;
 
     for (size_t i = 0; i < count && chain->count < RP_CHAIN_LENGTH; i++) {
         bool is_last = chain->count == RP_CHAIN_LENGTH - 1;
-        size_t place = i;
-        while (is_last && all_near && place < count &&
-               ranked[place]->is_near) {
-            place++;
+        size_t pick = i;
+        while (is_last && all_in_zone && pick < count &&
+               ranked[pick]->is_near) {
+            pick++;
         }
-        place = place < count ? place : i;
-        all_near = all_near && ranked[place]->is_near;
-        RpChain_Append(chain, ranked[place]->agent);
+        pick = pick < count ? pick : i;
+        all_in_zone = all_in_zone && ranked[pick]->is_near;
+        RpChain_Append(chain, ranked[pick]->agent);
     }
 }
 
-/* A SYN that was sent again goes to another candidate first: the one before
- * may not answer. */
+/* Rotates the candidates by `steps`, so that each copy of a SYN goes to
+ * another candidate first: the one that got the previous copy may not be
+ * answering. */
 static void
-rotate(struct rp_chain *chain, uint32_t steps)
+rotate_candidates(struct rp_chain *chain, uint32_t steps)
 {
     struct rp_chain old = *chain;
 
@@ -57,13 +59,13 @@
         return;
     }
     route->tag = service->tag;
-    append_ranked(&route->chain, service, hash,
-                  opens ? RP_MEMBERS_READY : RP_MEMBERS_SERVING);
+    append_candidates(&route->chain, service, hash,
+                      opens ? RP_MEMBERS_READY : RP_MEMBERS_SERVING);
     if (!opens) {
-        append_ranked(&route->chain, service, hash, RP_MEMBERS_LOST);
+        append_candidates(&route->chain, service, hash, RP_MEMBERS_LOST);
     }
     if (opens && packet->copy > 0 && route->chain.count > 1) {
-        rotate(&route->chain, packet->copy);
+        rotate_candidates(&route->chain, packet->copy);
     }
     if (route->chain.count > 0) {
         route->kind = RP_ROUTE_SEND;
--- a/lib/flow/rp_balancer.h
+++ b/lib/flow/rp_balancer.h
@@ -1,26 +1,33 @@
-/* What a balancer does with one packet. It keeps no state of flows: the
- * table and the packet decide. */
+/* The routing decision of a balancer: which agents may receive a packet.
+ *
+ * A balancer keeps no state per flow. The decision depends only on the
+ * service table and the packet. */
 #ifndef RP_BALANCER_H
 #define RP_BALANCER_H
 
 #include "rp_table.h"
 
 enum rp_route_kind {
-    RP_ROUTE_SEND,  /* to chain.hop[0], with tag and chain */
+    RP_ROUTE_SEND,  /* send it to chain.hop[0], with the tag and the chain */
     RP_ROUTE_RESET, /* answer the caller with a reset */
     RP_ROUTE_DROP
 };
 
 struct rp_route {
     enum rp_route_kind kind;
-    enum rp_counter reason; /* what to count */
+    enum rp_counter reason; /* the counter to increment */
     struct rp_service_tag tag;
-    struct rp_chain chain;
+    struct rp_chain chain; /* candidate agents, best first */
 };
 
-/* Decides where a caller's packet goes. A new flow gets ready members only;
- * an open flow may belong to any member that still serves, and to one out
- * of lease when there is room behind the others. */
+/* Decides where a caller's packet goes and fills `*route`.
+ *
+ * A packet that opens a flow gets only ready members as candidates. Any
+ * other packet may belong to a flow on a ready or a draining member; members
+ * whose lease has expired follow these as candidates if the chain has room.
+ *
+ * Without candidates, a packet that opens a flow is answered with a reset,
+ * unless the table may still lack members. All other packets are dropped. */
 void RpBalancer_Route(const struct rp_table *table,
                       const struct rp_packet *packet, struct rp_route *route);
 
--- a/lib/flow/rp_flow_table.c
+++ b/lib/flow/rp_flow_table.c
@@ -4,11 +4,11 @@
 #include <glib.h>
 #include <string.h>
 
-#define SHARD_MIN_PLACES 16 /* a power of two */
+#define SHARD_MIN_BUCKETS 16 /* a power of two */
 
 struct shard {
-    struct rp_flow *places;
-    size_t mask; /* places - 1 */
+    struct rp_flow *buckets;
+    size_t mask; /* number of buckets - 1 */
     size_t used;
 };
 
@@ -17,7 +17,7 @@
     uint64_t seed;
     size_t count;
     size_t sweep_shard;
-    size_t sweep_place;
+    size_t sweep_bucket;
 };
 
 struct rp_flow_table *
@@ -27,8 +27,8 @@
 
     table->seed = seed;
     for (size_t i = 0; i < RP_FLOW_SHARDS; i++) {
-        table->shards[i].places = g_new0(struct rp_flow, SHARD_MIN_PLACES);
-        table->shards[i].mask = SHARD_MIN_PLACES - 1;
+        table->shards[i].buckets = g_new0(struct rp_flow, SHARD_MIN_BUCKETS);
+        table->shards[i].mask = SHARD_MIN_BUCKETS - 1;
     }
     return table;
 }
@@ -40,13 +40,13 @@
         return;
     }
     for (size_t i = 0; i < RP_FLOW_SHARDS; i++) {
-        g_free(table->shards[i].places);
+        g_free(table->shards[i].buckets);
     }
     g_free(table);
 }
 
 static uint64_t
-hash_of(const struct rp_flow_table *table, struct rp_flow_key caller)
+hash_key(const struct rp_flow_table *table, struct rp_flow_key caller)
 {
     uint64_t x = (uint64_t)caller.src_ip << 16 | caller.src_port;
 
@@ -60,60 +60,62 @@
 }
 
 static struct shard *
-shard_of(struct rp_flow_table *table, uint64_t hash)
+select_shard(struct rp_flow_table *table, uint64_t hash)
 {
     return &table->shards[hash >> 58 & (RP_FLOW_SHARDS - 1)];
 }
 
-/* The entry of `caller`, or the free place where it would go. */
+/* Returns the entry of `caller`, or the free bucket where it would go. */
 static struct rp_flow *
-probe(const struct shard *shard, uint64_t hash, struct rp_flow_key caller)
+find_bucket(const struct shard *shard, uint64_t hash,
+            struct rp_flow_key caller)
 {
-    size_t place = hash & shard->mask;
+    size_t bucket = hash & shard->mask;
 
-    while (shard->places[place].state != 0 &&
-           !RpFlowKey_Equal(shard->places[place].caller, caller)) {
-        place = (place + 1) & shard->mask;
+    while (shard->buckets[bucket].state != 0 &&
+           !RpFlowKey_Equal(shard->buckets[bucket].caller, caller)) {
+        bucket = (bucket + 1) & shard->mask;
     }
-    return &shard->places[place];
+    return &shard->buckets[bucket];
 }
 
 struct rp_flow *
 RpFlowTable_Find(struct rp_flow_table *table, struct rp_flow_key caller)
 {
-    uint64_t hash = hash_of(table, caller);
-    struct rp_flow *flow = probe(shard_of(table, hash), hash, caller);
+    uint64_t hash = hash_key(table, caller);
+    struct rp_flow *flow = find_bucket(select_shard(table, hash), hash,
+                                       caller);
 
     return flow->state != 0 ? flow : NULL;
 }
 
 static void
-grow(struct rp_flow_table *table, struct shard *shard)
+grow_shard(struct rp_flow_table *table, struct shard *shard)
 {
     struct shard bigger = {.mask = shard->mask * 2 + 1, .used = shard->used};
 
-    bigger.places = g_new0(struct rp_flow, bigger.mask + 1);
+    bigger.buckets = g_new0(struct rp_flow, bigger.mask + 1);
     for (size_t i = 0; i <= shard->mask; i++) {
-        const struct rp_flow *flow = &shard->places[i];
+        const struct rp_flow *flow = &shard->buckets[i];
         if (flow->state != 0) {
-            *probe(&bigger, hash_of(table, flow->caller),
-                   flow->caller) = *flow;
+            *find_bucket(&bigger, hash_key(table, flow->caller),
+                         flow->caller) = *flow;
         }
     }
-    g_free(shard->places);
+    g_free(shard->buckets);
     *shard = bigger;
 }
 
 struct rp_flow *
 RpFlowTable_Insert(struct rp_flow_table *table, struct rp_flow_key caller)
 {
-    uint64_t hash = hash_of(table, caller);
-    struct shard *shard = shard_of(table, hash);
+    uint64_t hash = hash_key(table, caller);
+    struct shard *shard = select_shard(table, hash);
 
     if ((shard->used + 1) * 4 > (shard->mask + 1) * 3) {
-        grow(table, shard);
+        grow_shard(table, shard);
     }
-    struct rp_flow *flow = probe(shard, hash, caller);
+    struct rp_flow *flow = find_bucket(shard, hash, caller);
     assert(flow->state == 0);
     memset(flow, 0, sizeof *flow);
     flow->caller = caller;
@@ -126,25 +128,27 @@
 void
 RpFlowTable_Remove(struct rp_flow_table *table, struct rp_flow *flow)
 {
-    struct shard *shard = shard_of(table, hash_of(table, flow->caller));
-    size_t hole = (size_t)(flow - shard->places);
-    size_t place = hole;
+    struct shard *shard = select_shard(table, hash_key(table, flow->caller));
+    size_t hole = (size_t)(flow - shard->buckets);
+    size_t bucket = hole;
 
     assert(hole <= shard->mask && flow->state != 0);
     for (;;) {
-        place = (place + 1) & shard->mask;
-        struct rp_flow *next = &shard->places[place];
+        bucket = (bucket + 1) & shard->mask;
+        struct rp_flow *next = &shard->buckets[bucket];
         if (next->state == 0) {
             break;
         }
-        size_t home = hash_of(table, next->caller) & shard->mask;
-        /* An entry may fill the hole unless its home lies behind it. */
-        if (((place - home) & shard->mask) >= ((place - hole) & shard->mask)) {
-            shard->places[hole] = *next;
-            hole = place;
+        size_t home = hash_key(table, next->caller) & shard->mask;
+        /* The entry may fill the hole unless its home bucket, where probing
+         * for it begins, comes after the hole. */
+        if (((bucket - home) & shard->mask) >=
+            ((bucket - hole) & shard->mask)) {
+            shard->buckets[hole] = *next;
+            hole = bucket;
         }
     }
-    shard->places[hole].state = 0;
+    shard->buckets[hole].state = 0;
     shard->used--;
     table->count--;
 }
@@ -158,12 +162,12 @@
 size_t
 RpFlowTable_Places(const struct rp_flow_table *table)
 {
-    size_t places = 0;
+    size_t bucket_count = 0;
 
     for (size_t i = 0; i < RP_FLOW_SHARDS; i++) {
-        places += table->shards[i].mask + 1;
+        bucket_count += table->shards[i].mask + 1;
     }
-    return places;
+    return bucket_count;
 }
 
 size_t
@@ -179,7 +183,7 @@
     for (size_t i = 0; i < RP_FLOW_SHARDS; i++) {
         const struct shard *shard = &table->shards[i];
         for (size_t j = 0; j <= shard->mask; j++) {
-            const struct rp_flow *flow = &shard->places[j];
+            const struct rp_flow *flow = &shard->buckets[j];
             if (flow->state != 0 && (flow->flags & flags)) {
                 g_array_append_val(out, flow->caller);
             }
@@ -195,12 +199,12 @@
 
     while (budget-- > 0 && found < max) {
         const struct shard *shard = &table->shards[table->sweep_shard];
-        if (table->sweep_place > shard->mask) {
-            table->sweep_place = 0;
+        if (table->sweep_bucket > shard->mask) {
+            table->sweep_bucket = 0;
             table->sweep_shard = (table->sweep_shard + 1) % RP_FLOW_SHARDS;
             continue;
         }
-        const struct rp_flow *flow = &shard->places[table->sweep_place++];
+        const struct rp_flow *flow = &shard->buckets[table->sweep_bucket++];
         if (flow->state != 0 && flow->deadline <= now) {
             out[found++] = flow->caller;
         }
--- a/lib/flow/rp_flow_table.h
+++ b/lib/flow/rp_flow_table.h
@@ -1,9 +1,9 @@
-/* The flow table of an agent: what it knows of each flow of its service.
+/* The flow table of an agent: the state of each flow of its service.
  *
- * Open addressing in RP_FLOW_SHARDS separately growing parts, so that no
- * single growth step moves more than a small share of the entries. Entries
- * move when others are added or removed: a pointer is valid only until the
- * next RpFlowTable_Insert or RpFlowTable_Remove.
+ * The table uses open addressing in RP_FLOW_SHARDS shards that grow
+ * separately, so that one growth step moves only a small part of the entries.
+ * Entries move when others are added or removed: a pointer is valid only
+ * until the next RpFlowTable_Insert or RpFlowTable_Remove.
  */
 #ifndef RP_FLOW_TABLE_H
 #define RP_FLOW_TABLE_H
@@ -17,75 +17,79 @@
 
 #define RP_FLOW_SHARDS 64 /* a power of two */
 
-/* Flag bits of a flow. */
+/* Flag bits of a flow. ISN: initial sequence number. */
 #define RP_FLOW_KNOWS_CALLER_ISN 0x01
 #define RP_FLOW_KNOWS_HOST_ISN 0x02
 #define RP_FLOW_BUSY 0x04     /* a request is outstanding */
-#define RP_FLOW_PROBED 0x08   /* both ends were probed, no answer yet */
-#define RP_FLOW_OWNED 0x10    /* counts against the limits here */
+#define RP_FLOW_PROBED 0x08   /* both ends were probed and have not answered */
+#define RP_FLOW_OWNED 0x10    /* counts against this agent's limits */
 #define RP_FLOW_RESERVED 0x20 /* busy for a request that has not come yet */
-#define RP_FLOW_UNSURE 0x40   /* passed on, but may be the host's own */
-#define RP_FLOW_ORPHAN 0x80   /* nobody has it, since `host_seen` */
-#define RP_FLOW_GATED 0x100   /* its request waits at the gate */
-#define RP_FLOW_INSIDE 0x200  /* its request is counted by the gate */
-#define RP_FLOW_INSIDE_LONG 0x400 /* and counted as long */
-#define RP_FLOW_LONG 0x800        /* its last answer took long */
+#define RP_FLOW_UNSURE 0x40   /* passed on, but the host may have the flow */
+#define RP_FLOW_ORPHAN 0x80   /* no owner known since `host_seen` */
+#define RP_FLOW_GATED 0x100   /* its request waits for a slot (rp_gate.h) */
+#define RP_FLOW_INSIDE 0x200  /* its request was started (rp_gate.h) */
+#define RP_FLOW_INSIDE_LONG 0x400 /* and was started as a long request */
+#define RP_FLOW_LONG 0x800        /* the answer to its last request was slow */
 #define RP_FLOW_AWAITED 0x1000    /* no byte of the answer has come yet */
 #define RP_FLOW_UNQUEUED 0x2000   /* a slot was free when its request came */
 
 /* One flow. Times are in microseconds on the monotonic clock. */
 struct rp_flow {
     struct rp_flow_key caller;
-    uint8_t state; /* enum rp_flow_state; 0 marks a free place */
+    uint8_t state; /* enum rp_flow_state; 0 marks a free bucket */
     uint16_t flags;
     uint32_t caller_isn;
     uint32_t host_isn;
-    uint32_t caller_next;  /* end of what the caller sent */
-    uint32_t host_next;    /* end of what the host sent */
-    uint32_t host_acked;   /* what the host acknowledged */
-    uint32_t caller_acked; /* what the caller acknowledged */
+    uint32_t caller_next;  /* next sequence number of the caller */
+    uint32_t host_next;    /* next sequence number of the host */
+    uint32_t host_acked;   /* highest acknowledgement from the host */
+    uint32_t caller_acked; /* highest acknowledgement from the caller */
     int64_t deadline;      /* of the state's timer */
-    int64_t caller_seen;
-    int64_t host_seen;
-    int64_t request_since;       /* when the outstanding request went in */
-    struct rp_endpoint next_hop; /* of a redirected flow */
+    int64_t caller_seen;   /* time of the caller's last packet */
+    int64_t host_seen;     /* time of the host's last packet */
+    int64_t request_since; /* when the request came, or when it was started */
+    struct rp_endpoint next_hop; /* agent that a redirected flow goes to */
 };
 
 struct rp_flow_table;
 
-/* `seed` keys the table's own hash. */
+/* Creates an empty table. `seed` keys its hash function. Release it with
+ * RpFlowTable_Free. */
 struct rp_flow_table *RpFlowTable_Create(uint64_t seed);
 
 void RpFlowTable_Free(struct rp_flow_table *table);
 
-/* The flow of a caller, or NULL. */
+/* Returns the flow of `caller`, or NULL. */
 struct rp_flow *RpFlowTable_Find(struct rp_flow_table *table,
                                  struct rp_flow_key caller);
 
-/* A new zeroed entry for a caller that has none; the caller of this
- * function sets its state. */
+/* Adds an entry for `caller`, which must not have one. All its members but
+ * `caller` and `state` are zero; the calling function must set `state`. */
 struct rp_flow *RpFlowTable_Insert(struct rp_flow_table *table,
                                    struct rp_flow_key caller);
 
-/* Removes an entry. */
+/* Removes an entry of the table. */
 void RpFlowTable_Remove(struct rp_flow_table *table, struct rp_flow *flow);
 
-/* How many entries there are, and the bytes that the table takes. */
+/* Returns the number of entries. */
 size_t RpFlowTable_Count(const struct rp_flow_table *table);
+
+/* Returns the memory that the table occupies, in bytes. */
 size_t RpFlowTable_Bytes(const struct rp_flow_table *table);
 
-/* Copies the callers of up to `max` entries whose deadline has passed,
- * looking at up to `budget` places from where the last call ended. Returns
- * how many. */
+/* Copies the keys of up to `max` entries whose deadline has passed to `out`.
+ * Examines up to `budget` buckets, from where the last call ended, so that
+ * repeated calls cover the whole table. Moving on to the next shard also
+ * counts as one bucket. Returns the number of keys. */
 size_t RpFlowTable_Due(struct rp_flow_table *table, int64_t now, size_t budget,
                        struct rp_flow_key *out, size_t max);
 
-/* Appends the keys of the flows that have any of the flag bits to `out`, a
- * list of struct rp_flow_key. */
+/* Appends the keys of the flows that have any of `flags` to `out`, an array
+ * of struct rp_flow_key. */
 void RpFlowTable_Collect(const struct rp_flow_table *table, uint16_t flags,
                          GArray *out);
 
-/* How many places there are, free ones included. */
+/* Returns the number of buckets, including free ones. */
 size_t RpFlowTable_Places(const struct rp_flow_table *table);
 
 #endif
--- a/lib/flow/rp_table.c
+++ b/lib/flow/rp_table.c
@@ -9,7 +9,7 @@
 
 #define LOG_TABLE_BITS 8
 #define LOG_TABLE_SIZE (1u << LOG_TABLE_BITS)
-#define LOG_FRACTION_BITS 20 /* of the fixed-point logarithm */
+#define LOG_FRACTION_BITS 20 /* fraction bits of the fixed-point logarithm */
 #define INVERSE_SCALE (UINT64_C(1) << 32)
 
 struct rp_table {
@@ -18,12 +18,12 @@
     GHashTable *by_address; /* address key -> struct rp_service */
     GHashTable *by_id;      /* service id -> struct rp_service, owns it */
     GHashTable *vips;       /* address key -> struct rp_vip */
-    struct rp_name zone;    /* whose members are preferred */
-    uint32_t zone_weight;
-    bool gathering;
+    struct rp_name preferred_zone;
+    uint32_t zone_weight;  /* factor for members in the preferred zone */
+    bool may_lack_members; /* the sender has just started */
 };
 
-/* log2 of 1 + i / LOG_TABLE_SIZE in fixed point; the last entry is 1. */
+/* Entry i is log2(1 + i / LOG_TABLE_SIZE) in fixed point. */
 static uint32_t log_table[LOG_TABLE_SIZE + 1];
 
 static void
@@ -74,7 +74,7 @@
 RpTable_PreferZone(struct rp_table *table, const struct rp_name *zone,
                    uint32_t weight)
 {
-    table->zone = *zone;
+    table->preferred_zone = *zone;
     table->zone_weight = MAX(weight, 1);
 }
 
@@ -90,7 +90,7 @@
 }
 
 static void
-fill_member(const struct rp_table *table, struct rp_member *member,
+init_member(const struct rp_table *table, struct rp_member *member,
             const struct rp_msg_member *from)
 {
     static const uint8_t seed_key[crypto_shorthash_KEYBYTES] =
@@ -102,7 +102,7 @@
                                          .port = from->agent_port};
     member->slots = MAX(from->slots, 1);
     uint64_t weight = member->slots;
-    if (RpName_Equal(&table->zone, &from->zone)) {
+    if (RpName_Equal(&table->preferred_zone, &from->zone)) {
         weight *= table->zone_weight;
         member->is_near = true;
     }
@@ -126,7 +126,7 @@
 
 /* Adds the members of `old` that `service` does not have. */
 static void
-keep_members(struct rp_service *service, const struct rp_service *old)
+add_missing_members(struct rp_service *service, const struct rp_service *old)
 {
     for (size_t i = 0; i < old->count; i++) {
         if (!has_member(service, &old->members[i].name)) {
@@ -138,7 +138,7 @@
 }
 
 static struct rp_service *
-make_service(const struct rp_table *table, const struct rp_msg_service *from)
+create_service(const struct rp_table *table, const struct rp_msg_service *from)
 {
     struct rp_service *service = g_new0(struct rp_service, 1);
 
@@ -155,7 +155,7 @@
     service->count = from->members->len;
     service->members = g_new0(struct rp_member, service->count);
     for (size_t i = 0; i < service->count; i++) {
-        fill_member(table, &service->members[i],
+        init_member(table, &service->members[i],
                     &g_array_index(from->members, struct rp_msg_member, i));
     }
     return service;
@@ -180,13 +180,13 @@
 static void
 put_service(struct rp_table *table, const struct rp_msg_service *from)
 {
-    struct rp_service *service = make_service(table, from);
+    struct rp_service *service = create_service(table, from);
     guint64 key = RpEndpoint_Key(service->address);
     const struct rp_service *old = g_hash_table_lookup(
         table->by_id, GUINT_TO_POINTER(from->id));
 
-    if (old && table->gathering) {
-        keep_members(service, old);
+    if (old && table->may_lack_members) {
+        add_missing_members(service, old);
     }
     remove_service(table, from->id);
     g_hash_table_insert(table->by_id, GUINT_TO_POINTER(from->id), service);
@@ -231,20 +231,21 @@
 {
     for (guint i = 0; update->removed_vips && i < update->removed_vips->len;
          i++) {
-        const struct rp_msg_removed_vip *gone = &g_array_index(
+        const struct rp_msg_removed_vip *removed = &g_array_index(
             update->removed_vips, struct rp_msg_removed_vip, i);
-        remove_vip(table, (struct rp_endpoint){.ip = gone->address,
-                                               .port = gone->port});
+        remove_vip(table, (struct rp_endpoint){.ip = removed->address,
+                                               .port = removed->port});
     }
     for (guint i = 0; update->vips && i < update->vips->len; i++) {
         put_vip(table, &g_array_index(update->vips, struct rp_msg_vip, i));
     }
 }
 
-/* Drops what a whole table does not list: all of it, but for the services
- * whose members may have to be kept. */
+/* Removes all virtual addresses, and the services that a whole table does not
+ * list. Listed services stay until put_service replaces them, since it may
+ * have to keep their members. */
 static void
-drop_unlisted(struct rp_table *table, const struct rp_msg_table *update)
+remove_unlisted(struct rp_table *table, const struct rp_msg_table *update)
 {
     GHashTable *listed = g_hash_table_new(NULL, NULL);
     GHashTableIter iter;
@@ -270,7 +271,7 @@
 bool
 RpTable_IsGathering(const struct rp_table *table)
 {
-    return table->gathering;
+    return table->may_lack_members;
 }
 
 enum rp_code
@@ -279,9 +280,9 @@
     if (update->revision < table->revision) {
         return RP_ERR_CONFLICT;
     }
-    table->gathering = update->gathering;
+    table->may_lack_members = update->gathering;
     if (update->complete) {
-        drop_unlisted(table, update);
+        remove_unlisted(table, update);
     }
     for (guint i = 0; update->removed && i < update->removed->len; i++) {
         remove_service(
@@ -362,10 +363,10 @@
     return RpBytes_Get64(digest);
 }
 
-/* The finaliser of a 64-bit mixing hash: every input bit reaches every
- * output bit. */
+/* The 64-bit finaliser of MurmurHash3: every input bit affects every output
+ * bit. */
 static uint64_t
-mix(uint64_t x)
+mix_bits(uint64_t x)
 {
     x ^= x >> 33;
     x *= UINT64_C(0xff51afd7ed558ccd);
@@ -375,27 +376,30 @@
     return x;
 }
 
-/* -log2(h / 2^64) in fixed point, for h seen as a uniform draw. */
+/* Returns -log2(h / 2^64) in fixed point. `h` is taken as uniformly
+ * distributed. The table is interpolated linearly. */
 static uint32_t
-negative_log(uint64_t h)
+negative_log2(uint64_t h)
 {
     h |= 1;
     int zeros = __builtin_clzll(h);
-    uint64_t mantissa = h << zeros << 1; /* without the leading one */
+    uint64_t mantissa = h << zeros << 1; /* without the leading 1 bit */
     uint32_t index = (uint32_t)(mantissa >> (64 - LOG_TABLE_BITS));
-    uint64_t below = mantissa << LOG_TABLE_BITS >> 32;
+    uint64_t fraction = mantissa << LOG_TABLE_BITS >> 32;
     uint32_t step = log_table[index + 1] - log_table[index];
-    uint32_t log = log_table[index] + (uint32_t)(step * below >> 32);
+    uint32_t log = log_table[index] + (uint32_t)(step * fraction >> 32);
 
     return ((uint32_t)(zeros + 1) << LOG_FRACTION_BITS) - log;
 }
 
-/* A member's score for a flow; the lowest wins. Dividing the draw by the
- * weight gives each member a share of flows in proportion to its slots. */
+/* Returns a member's score for a flow; the lowest score ranks first. The
+ * negative logarithm of a uniform value is exponentially distributed, so
+ * dividing it by the weight gives each member a share of the flows in
+ * proportion to its weight. */
 static uint64_t
-score_of(const struct rp_member *member, uint64_t flow_hash)
+compute_score(const struct rp_member *member, uint64_t flow_hash)
 {
-    uint32_t draw = negative_log(mix(flow_hash ^ member->seed));
+    uint32_t draw = negative_log2(mix_bits(flow_hash ^ member->seed));
 
     return (uint64_t)draw * member->inverse_slots;
 }
@@ -409,13 +413,13 @@
     if (!vip || vip->weight_sum == 0) {
         return RpTable_Find(table, address);
     }
-    uint64_t draw = mix(flow_hash) % vip->weight_sum;
-    size_t place = 0;
-    while (draw >= vip->targets[place].weight) {
-        draw -= vip->targets[place++].weight;
+    uint64_t draw = mix_bits(flow_hash) % vip->weight_sum;
+    size_t i = 0;
+    while (draw >= vip->targets[i].weight) {
+        draw -= vip->targets[i++].weight;
     }
-    return g_hash_table_lookup(
-        table->by_id, GUINT_TO_POINTER(vip->targets[place].service_id));
+    return g_hash_table_lookup(table->by_id,
+                               GUINT_TO_POINTER(vip->targets[i].service_id));
 }
 
 size_t
@@ -431,21 +435,21 @@
         if (!(states >> member->state & 1)) {
             continue;
         }
-        uint64_t score = score_of(member, flow_hash);
-        size_t place = count;
-        while (place > 0 && score < scores[place - 1]) {
-            place--;
+        uint64_t score = compute_score(member, flow_hash);
+        size_t rank = count;
+        while (rank > 0 && score < scores[rank - 1]) {
+            rank--;
         }
-        if (place >= max) {
+        if (rank >= max) {
             continue;
         }
         count = MIN(count + 1, max);
-        for (size_t j = count - 1; j > place; j--) {
+        for (size_t j = count - 1; j > rank; j--) {
             scores[j] = scores[j - 1];
             out[j] = out[j - 1];
         }
-        scores[place] = score;
-        out[place] = member;
+        scores[rank] = score;
+        out[rank] = member;
     }
     return count;
 }
--- a/lib/flow/rp_table.h
+++ b/lib/flow/rp_table.h
@@ -1,13 +1,14 @@
-/* Service tables: where a packet may go.
+/* The service table of a balancer or an agent: services, virtual addresses
+ * and the members that serve them.
  *
- * A table holds, for each service, its members (upstreams and their
- * agents). The candidates of a flow are ranked by weighted rendezvous
- * hashing: each member's score depends only on the flow, the member's name
- * and its slots, so one member's change moves only its own flows, and every
- * instance with the same members ranks them alike.
+ * For each service the table holds its members (upstreams and their agents).
+ * Weighted rendezvous hashing ranks the members for a flow: a member's score
+ * depends only on the flow, the member's name and its weight. When one member
+ * changes, only flows to or from that member move, and all instances with the
+ * same members and the same preferred zone rank them alike.
  *
- * Configuration only goes upwards: a message with a lower revision than the
- * table's own is refused.
+ * The revision of a table never decreases: a message with a lower revision is
+ * refused.
  */
 #ifndef RP_TABLE_H
 #define RP_TABLE_H
@@ -22,41 +23,42 @@
 #include "rp_msg.h"
 #include "rp_packet.h"
 
-#define RP_CHAIN_LENGTH 3 /* candidates that a balancer names */
+#define RP_CHAIN_LENGTH 3 /* most candidates that a balancer lists per flow   \
+                           */
 
-/* Sets of member states, for RpService_Rank. */
+/* Bit sets of member states, for RpService_Rank. */
 #define RP_MEMBERS_READY (1u << RP_UPSTREAM_READY)
 #define RP_MEMBERS_SERVING                                                    \
     (1u << RP_UPSTREAM_READY | 1u << RP_UPSTREAM_DRAINING)
 #define RP_MEMBERS_LOST (1u << RP_UPSTREAM_LOST)
 
-/* One upstream with its agent. */
+/* One upstream of a service and the agent in front of it. */
 struct rp_member {
     struct rp_name name;
     struct rp_endpoint agent;
-    uint32_t slots;
-    uint32_t inverse_slots; /* 2^32 / weighted slots, for the score */
-    uint64_t seed;
+    uint32_t slots;         /* requests that it serves at once */
+    uint32_t inverse_slots; /* 2^32 / (slots * zone weight) */
+    uint64_t seed;          /* hash of the name */
     enum rp_upstream_state state;
-    bool is_near; /* in the zone that is preferred */
+    bool is_near; /* in the preferred zone */
 };
 
-/* A virtual address of the edition in force: a service takes flows there in
- * proportion to its weight. A service's own address leads to it alone and
- * needs no such entry. */
+/* A virtual address of the configuration in force. New flows to it are
+ * divided among its target services in proportion to their weights. The
+ * address of a service itself needs no such entry. */
 struct rp_vip {
     struct rp_endpoint address;
     enum rp_request_kind kind;
     uint32_t priority; /* 0 is the highest */
     uint32_t timeout_ms;
-    uint32_t target_ms; /* latency that callers hope for */
+    uint32_t target_ms; /* target latency of requests; 0: unknown */
     uint32_t weight_sum;
     size_t count;
     struct rp_msg_target *targets;
 };
 
-/* One service and its members. An address of port 0 is none: the service
- * is reached through virtual addresses only. */
+/* One service and its members. Port 0 means that the service has no address
+ * of its own and is reached through virtual addresses only. */
 struct rp_service {
     struct rp_name name;
     struct rp_endpoint address;
@@ -71,62 +73,65 @@
 
 struct rp_table;
 
-/* An empty table. */
+/* Creates an empty table. Release it with RpTable_Free. */
 struct rp_table *RpTable_Create(void);
 
 void RpTable_Free(struct rp_table *table);
 
-/* Members in this zone count `weight` times as much as others when flows
- * are placed. To be set before the first table comes. */
+/* Multiplies the weight of the members in `zone` by `weight` (at least 1)
+ * when members are ranked. Call it before the first RpTable_Apply: members
+ * that the table has already keep their weights. */
 void RpTable_PreferZone(struct rp_table *table, const struct rp_name *zone,
                         uint32_t weight);
 
-/* Takes a whole table or a change from control. Refuses a lower revision
- * with RP_ERR_CONFLICT and then changes nothing. */
+/* Applies a whole table or a change from control. Returns RP_ERR_CONFLICT
+ * and changes nothing if the update's revision is lower than the table's. */
 enum rp_code RpTable_Apply(struct rp_table *table,
                            const struct rp_msg_table *update);
 
-/* Whether the table may lack members, since it comes from a replica that
- * has just started. */
+/* Returns whether the table may lack members because the control replica
+ * that sent it has just started and has not heard from all upstreams yet. */
 bool RpTable_IsGathering(const struct rp_table *table);
 
-/* The configuration revision in force; 0 before the first table. */
+/* Returns the configuration revision in force; 0 before the first table. */
 uint64_t RpTable_Revision(const struct rp_table *table);
 
-/* How many services there are. */
+/* Returns the number of services. */
 size_t RpTable_Count(const struct rp_table *table);
 
-/* The service at an address, or NULL. */
+/* Returns the service whose own address is `address`, or NULL. */
 const struct rp_service *RpTable_Find(const struct rp_table *table,
                                       struct rp_endpoint address);
 
-/* The virtual address, or NULL if there is none (a service may have the
- * address itself). */
+/* Returns the virtual address entry for `address`, or NULL. NULL does not
+ * exclude that a service has this address as its own. */
 const struct rp_vip *RpTable_FindVip(const struct rp_table *table,
                                      struct rp_endpoint address);
 
-/* The service that a new flow to `address` goes to: the one that has the
- * address, else the one that the flow's hash draws from the virtual
- * address's targets. NULL if nothing is served there. */
+/* Returns the service that a flow to `address` goes to. If `address` is a
+ * virtual address, the flow's hash selects one of its targets in proportion
+ * to their weights; else the service with that address is returned. NULL if
+ * there is neither, or if the table lacks the selected service. */
 const struct rp_service *RpTable_Resolve(const struct rp_table *table,
                                          struct rp_endpoint address,
                                          uint64_t flow_hash);
 
-/* The service with this id, or NULL. */
+/* Returns the service with this id, or NULL. */
 const struct rp_service *RpTable_FindId(const struct rp_table *table,
                                         uint32_t id);
 
-/* The service of a name, or NULL. */
+/* Returns the service with this name, or NULL. */
 const struct rp_service *RpTable_FindName(const struct rp_table *table,
                                           const struct rp_name *name);
 
-/* The flow's keyed hash (SipHash-2-4), the same at every instance. `key` is
- * the flow as its caller names it. */
+/* Returns the flow's keyed hash (SipHash-2-4). All instances with the same
+ * hash key compute the same value. The source of `key` is the caller. */
 uint64_t RpTable_HashFlow(const struct rp_table *table,
                           struct rp_flow_key key);
 
-/* Writes up to `max` members whose state is in `states`, best first.
- * Returns how many. */
+/* Ranks the members whose state is in `states` for a flow and writes the
+ * best `max` (at most RP_MAX_CHAIN) to `out`, best first. Returns their
+ * number. The pointers are valid until the table changes. */
 size_t RpService_Rank(const struct rp_service *service, uint64_t flow_hash,
                       unsigned states, const struct rp_member **out,
                       size_t max);
--- a/tests/unit/test_tables.c
+++ b/tests/unit/test_tables.c
@@ -1,4 +1,5 @@
-/* Service tables, rankings, routes and the flow table. */
+/* Tests the service table, the ranking of members, the routes of a balancer
+ * and the flow table. */
 #include <glib.h>
 #include <string.h>
 
@@ -23,7 +24,8 @@
     g_array_append_val(members, member);
 }
 
-/* A table with one service at 10.80.0.1:7000 and `count` members. */
+/* Applies a whole table with one service at 10.80.0.1:7000 and `count`
+ * members. The first member has `first_slots` slots, the others 7. */
 static void
 apply_members(struct rp_table *table, uint64_t revision, unsigned count,
               uint32_t first_slots)
@@ -49,14 +51,14 @@
 }
 
 static const struct rp_service *
-test_service(const struct rp_table *table)
+find_test_service(const struct rp_table *table)
 {
     return RpTable_Find(table, (struct rp_endpoint){0x0a500001, 7000});
 }
 
-/* Which member is first for flow number `i`; its number. */
+/* Returns the number of the member that ranks first for flow `i`. */
 static unsigned
-first_for(const struct rp_table *table, unsigned i)
+first_member(const struct rp_table *table, unsigned i)
 {
     const struct rp_member *ranked[1];
     struct rp_flow_key key = {.src_ip = 0x0a090000 + i / 1000,
@@ -64,16 +66,17 @@
                               .dst_ip = 0x0a500001,
                               .dst_port = 7000};
 
-    assert_int_equal(RpService_Rank(test_service(table),
+    assert_int_equal(RpService_Rank(find_test_service(table),
                                     RpTable_HashFlow(table, key),
                                     RP_MEMBERS_READY, ranked, 1),
                      1);
     return ranked[0]->agent.ip;
 }
 
-/* A new member takes flows from the others; no flow moves between those. */
+/* A new member takes its share of the flows from the others, and no flow moves
+ * between the others. */
 static void
-test_one_change_moves_only_its_flows(void **state)
+test_new_member_moves_only_its_flows(void **state)
 {
     struct rp_table *before = RpTable_Create();
     struct rp_table *after = RpTable_Create();
@@ -83,8 +86,8 @@
     apply_members(before, 1, 7, 7);
     apply_members(after, 1, 8, 7);
     for (unsigned i = 0; i < FLOWS; i++) {
-        unsigned old = first_for(before, i);
-        unsigned new = first_for(after, i);
+        unsigned old = first_member(before, i);
+        unsigned new = first_member(after, i);
         assert_true(new == old || new == 8);
         moved += new != old;
     }
@@ -93,9 +96,10 @@
     RpTable_Free(after);
 }
 
-/* Shares follow the slots. */
+/* Each member gets flows in proportion to its slots, within 5 % for the member
+ * with 21 slots and 10 % for the others. */
 static void
-test_weights(void **state)
+test_flows_in_proportion_to_slots(void **state)
 {
     struct rp_table *table = RpTable_Create();
     unsigned count[8] = {0};
@@ -103,7 +107,7 @@
     (void)state;
     apply_members(table, 1, 7, 21);
     for (unsigned i = 0; i < FLOWS; i++) {
-        count[first_for(table, i)]++;
+        count[first_member(table, i)]++;
     }
     unsigned share = FLOWS * 7 / (21 + 6 * 7);
     assert_in_range(count[1], share * 3 * 95 / 100, share * 3 * 105 / 100);
@@ -113,8 +117,9 @@
     RpTable_Free(table);
 }
 
+/* A table refuses an update with a lower revision and stays as it is. */
 static void
-test_revision_never_falls(void **state)
+test_revision_never_decreases(void **state)
 {
     struct rp_table *table = RpTable_Create();
     struct rp_msg_table older = {.revision = 4, .complete = 1};
@@ -127,6 +132,8 @@
     RpTable_Free(table);
 }
 
+/* Only a packet that does not open a flow is sent to draining and lost
+ * members. A SYN to a service without ready members is reset. */
 static void
 test_routes(void **state)
 {
@@ -186,17 +193,18 @@
     RpTable_Free(table);
 }
 
-/* The flow table against a plain hash table, by random operations. */
+/* Compares the flow table with a plain hash table under random insertions and
+ * removals. */
 static void
 test_flow_table_model(void **state)
 {
     struct rp_flow_table *table = RpFlowTable_Create(99);
     GHashTable *model = g_hash_table_new(NULL, NULL);
-    GRand *dice = g_rand_new_with_seed(7);
+    GRand *rng = g_rand_new_with_seed(7);
 
     (void)state;
     for (int i = 0; i < 200000; i++) {
-        guint number = (guint)g_rand_int_range(dice, 1, 5000);
+        guint number = (guint)g_rand_int_range(rng, 1, 5000);
         struct rp_flow_key caller = {.src_ip = number, .src_port = 9};
         struct rp_flow *flow = RpFlowTable_Find(table, caller);
         bool known = g_hash_table_contains(model, GUINT_TO_POINTER(number));
@@ -216,26 +224,29 @@
         assert_int_equal(RpFlowTable_Count(table), g_hash_table_size(model));
     }
 
-    /* A sweep over all places finds each entry that is due, once. */
-    guint due = 0;
+    /* A sweep over all buckets finds each expired entry once. */
+    guint expired = 0;
     GHashTableIter iter;
     gpointer key;
     g_hash_table_iter_init(&iter, model);
     while (g_hash_table_iter_next(&iter, &key, NULL)) {
-        due += GPOINTER_TO_UINT(key) <= 2500;
+        expired += GPOINTER_TO_UINT(key) <= 2500;
     }
     struct rp_flow_key *found = g_new(struct rp_flow_key, 10000);
-    size_t places = RpFlowTable_Places(table) + RP_FLOW_SHARDS;
-    assert_int_equal(RpFlowTable_Due(table, 2500, places, found, 10000), due);
+    size_t budget = RpFlowTable_Places(table) + RP_FLOW_SHARDS;
+    assert_int_equal(RpFlowTable_Due(table, 2500, budget, found, 10000),
+                     expired);
     g_free(found);
-    g_rand_free(dice);
+    g_rand_free(rng);
     g_hash_table_destroy(model);
     RpFlowTable_Free(table);
 }
 
+/* Applies a table with one service whose members have the letters of `names`
+ * as their names. */
 static void
-apply_lettered(struct rp_table *table, bool complete, bool gathering,
-               const char *names, enum rp_upstream_state state)
+apply_members_named(struct rp_table *table, bool complete, bool gathering,
+                    const char *names, enum rp_upstream_state state)
 {
     struct rp_msg_table update = {
         .revision = 5,
@@ -258,7 +269,7 @@
     g_array_free(update.services, TRUE);
 }
 
-/* The members' names with their states, as "a1b2". */
+/* Compares the members' names and states with `expected`, such as "a1b2". */
 static void
 expect_members(const struct rp_table *table, const char *expected)
 {
@@ -274,25 +285,26 @@
     g_string_free(text, TRUE);
 }
 
-/* A control instance that has just started knows few upstreams. A node keeps
- * those that it knows until the instance says that it has heard of all. */
+/* A control instance that has just started may not have heard from all
+ * upstreams yet. A node keeps the members that it knows until the instance
+ * sends a table that is not marked `gathering`. */
 static void
-test_gathering(void **state)
+test_keeps_members_while_gathering(void **state)
 {
     struct rp_table *table = RpTable_Create();
 
     (void)state;
-    apply_lettered(table, true, false, "ab", RP_UPSTREAM_READY);
-    apply_lettered(table, true, true, "", RP_UPSTREAM_READY);
+    apply_members_named(table, true, false, "ab", RP_UPSTREAM_READY);
+    apply_members_named(table, true, true, "", RP_UPSTREAM_READY);
     expect_members(table, "a1b1");
-    apply_lettered(table, false, true, "b", RP_UPSTREAM_DRAINING);
+    apply_members_named(table, false, true, "b", RP_UPSTREAM_DRAINING);
     expect_members(table, "b2a1");
-    apply_lettered(table, false, true, "c", RP_UPSTREAM_READY);
+    apply_members_named(table, false, true, "c", RP_UPSTREAM_READY);
     expect_members(table, "c1b2a1");
     assert_true(RpTable_IsGathering(table));
-    apply_lettered(table, true, false, "bc", RP_UPSTREAM_READY);
+    apply_members_named(table, true, false, "bc", RP_UPSTREAM_READY);
     expect_members(table, "b1c1");
-    apply_lettered(table, true, false, "", RP_UPSTREAM_READY);
+    apply_members_named(table, true, false, "", RP_UPSTREAM_READY);
     expect_members(table, "");
     RpTable_Free(table);
 }
@@ -301,12 +313,12 @@
 main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_one_change_moves_only_its_flows),
-        cmocka_unit_test(test_weights),
-        cmocka_unit_test(test_revision_never_falls),
+        cmocka_unit_test(test_new_member_moves_only_its_flows),
+        cmocka_unit_test(test_flows_in_proportion_to_slots),
+        cmocka_unit_test(test_revision_never_decreases),
         cmocka_unit_test(test_routes),
         cmocka_unit_test(test_flow_table_model),
-        cmocka_unit_test(test_gathering),
+        cmocka_unit_test(test_keeps_members_while_gathering),
     };
 
     return cmocka_run_group_tests(tests, NULL, NULL);
