--- a/lib/flow/rp_admission.c
+++ b/lib/flow/rp_admission.c
@@ -32,13 +32,13 @@
 }
 
 static void
-free_plain(struct rp_admission *policy)
+free_policy(struct rp_admission *policy)
 {
     g_free(policy);
 }
 
 static struct rp_admission *
-create_plain(const struct rp_admission_ops *ops)
+create_policy(const struct rp_admission_ops *ops)
 {
     struct rp_admission *policy = g_new0(struct rp_admission, 1);
 
@@ -47,8 +47,8 @@
 }
 
 static enum rp_verdict
-bound_decide(struct rp_admission *policy, const struct rp_load *load,
-             enum rp_counter *reason)
+decide_by_free_slot(struct rp_admission *policy, const struct rp_load *load,
+                    enum rp_counter *reason)
 {
     (void)policy;
     if (load->busy < load->slots) {
@@ -63,16 +63,16 @@
 RpAdmission_CreateBound(void)
 {
     static const struct rp_admission_ops ops = {
-        .name = "bound", .decide = bound_decide, .free = free_plain};
+        .name = "bound", .decide = decide_by_free_slot, .free = free_policy};
 
-    return create_plain(&ops);
+    return create_policy(&ops);
 }
 
 static enum rp_verdict
-least_decide(struct rp_admission *policy, const struct rp_load *load,
-             enum rp_counter *reason)
+decide_by_least_busy(struct rp_admission *policy, const struct rp_load *load,
+                     enum rp_counter *reason)
 {
-    enum rp_verdict verdict = bound_decide(policy, load, reason);
+    enum rp_verdict verdict = decide_by_free_slot(policy, load, reason);
 
     if (*reason == RP_COUNT_FLOW_ADMITTED_LAST &&
         load->best_share < RpLoad_Share(load)) {
@@ -85,18 +85,19 @@
 uint32_t
 RpLoad_FullShare(const struct rp_load *load)
 {
-    bool important = load->priority <= RP_IMPORTANT_PRIORITY;
+    bool is_high_priority = load->priority <= RP_IMPORTANT_PRIORITY;
 
     if (load->target_us > 0 && load->waited_us >= load->target_us) {
         return RP_FULL_SHARE_LATE;
     }
     if (load->target_us == 0 || load->work_us == 0) {
-        return important ? RP_FULL_SHARE_IMPORTANT : RP_FULL_SHARE_OTHERS;
+        return is_high_priority ? RP_FULL_SHARE_IMPORTANT
+                                : RP_FULL_SHARE_OTHERS;
     }
-    /* A request behind `n` slots' worth of others waits n - 1 times the mean
-     * work. */
-    uint64_t percent = important ? RP_WAIT_PERCENT_IMPORTANT
-                                 : RP_WAIT_PERCENT_OTHERS;
+    /* At a utilisation of n (n >= 1), a new request waits for a slot for
+     * n - 1 times the mean service time. */
+    uint64_t percent = is_high_priority ? RP_WAIT_PERCENT_IMPORTANT
+                                        : RP_WAIT_PERCENT_OTHERS;
     uint64_t wait_us = load->target_us * percent / ALL_PERCENT;
     wait_us -= MIN(wait_us, load->waited_us);
     uint64_t share = RP_SHARE_UNIT + wait_us * RP_SHARE_UNIT / load->work_us;
@@ -104,31 +105,31 @@
 }
 
 static enum rp_verdict
-bounded_decide(struct rp_admission *policy, const struct rp_load *load,
-               enum rp_counter *reason)
+decide_by_latency(struct rp_admission *policy, const struct rp_load *load,
+                  enum rp_counter *reason)
 {
     if (load->last &&
         MIN(load->best_share, RpLoad_Share(load)) >= RpLoad_FullShare(load)) {
         *reason = RP_COUNT_REFUSED_BUSY;
         return RP_VERDICT_REFUSE;
     }
-    return least_decide(policy, load, reason);
+    return decide_by_least_busy(policy, load, reason);
 }
 
 struct rp_admission *
 RpAdmission_CreateBounded(void)
 {
     static const struct rp_admission_ops ops = {
-        .name = "bounded", .decide = bounded_decide, .free = free_plain};
+        .name = "bounded", .decide = decide_by_latency, .free = free_policy};
 
-    return create_plain(&ops);
+    return create_policy(&ops);
 }
 
 struct rp_admission *
 RpAdmission_CreateLeast(void)
 {
     static const struct rp_admission_ops ops = {
-        .name = "least", .decide = least_decide, .free = free_plain};
+        .name = "least", .decide = decide_by_least_busy, .free = free_policy};
 
-    return create_plain(&ops);
+    return create_policy(&ops);
 }
--- a/tests/unit/test_admission.c
+++ b/tests/unit/test_admission.c
@@ -1,5 +1,5 @@
-/* When a new flow is taken, passed on, sent back or refused: a table of
- * loads. */
+/* Tests for which loads a new flow is admitted, passed on, passed back or
+ * refused. */
 #include <glib.h>
 
 #include "check.h"
@@ -7,8 +7,8 @@
 
 #define MS 1000 /* microseconds */
 
-/* A load at the last of three candidates, and what must become of the flow.
- * Shares are in units of 1 / RP_SHARE_UNIT. */
+/* A load and the decision that it must lead to. Shares are in units of
+ * 1 / RP_SHARE_UNIT. */
 static const struct {
     const char *what;
     struct rp_load load;
@@ -19,27 +19,27 @@
      {.slots = 7, .busy = 6, .best_share = 20, .last = true, .priority = 2},
      RP_VERDICT_TAKE,
      RP_COUNT_FLOW_ADMITTED},
-    {"all slots busy, others left to try",
+    {"all slots busy, more candidates follow",
      {.slots = 7, .busy = 7, .best_share = 255, .priority = 2},
      RP_VERDICT_PASS,
      RP_COUNT_PASS_BUSY},
-    {"the least busy of all",
+    {"the least busy candidate",
      {.slots = 7, .busy = 8, .best_share = 32, .last = true, .priority = 2},
      RP_VERDICT_TAKE,
      RP_COUNT_FLOW_ADMITTED_LAST},
-    {"another is less busy",
+    {"an earlier candidate is less busy",
      {.slots = 7, .busy = 16, .best_share = 32, .last = true, .priority = 2},
      RP_VERDICT_BACK,
      RP_COUNT_PASS_BACK},
-    {"nothing known of work or target: three times the slots",
+    {"no service time and no target known: limit 3 times the slots",
      {.slots = 7, .busy = 21, .best_share = 50, .last = true, .priority = 2},
      RP_VERDICT_REFUSE,
      RP_COUNT_REFUSED_BUSY},
-    {"the same, for an important request: four times",
+    {"the same with high priority: limit 4 times the slots",
      {.slots = 7, .busy = 21, .best_share = 50, .last = true, .priority = 1},
      RP_VERDICT_TAKE,
      RP_COUNT_FLOW_ADMITTED_LAST},
-    {"half of 400 ms are four times 50 ms: five times the slots",
+    {"may wait 200 ms, 4 times 50 ms: below the limit of 5 times the slots",
      {.slots = 3,
       .busy = 14,
       .best_share = 99,
@@ -49,7 +49,7 @@
       .work_us = 50 * MS},
      RP_VERDICT_TAKE,
      RP_COUNT_FLOW_ADMITTED_LAST},
-    {"and no more",
+    {"may wait 200 ms, 4 times 50 ms: limit 5 times the slots reached",
      {.slots = 3,
       .busy = 15,
       .best_share = 99,
@@ -59,7 +59,7 @@
       .work_us = 50 * MS},
      RP_VERDICT_REFUSE,
      RP_COUNT_REFUSED_BUSY},
-    {"a slow host: work that takes the whole target leaves two",
+    {"service time equals the target: lowest limit, 2 times the slots",
      {.slots = 4,
       .busy = 8,
       .best_share = 99,
@@ -69,7 +69,7 @@
       .work_us = 100 * MS},
      RP_VERDICT_REFUSE,
      RP_COUNT_REFUSED_BUSY},
-    {"short work: as far as shares can tell",
+    {"short service time: limit capped at the largest share",
      {.slots = 2,
       .busy = 31,
       .best_share = 253,
@@ -79,7 +79,7 @@
       .work_us = 4 * MS},
      RP_VERDICT_TAKE,
      RP_COUNT_FLOW_ADMITTED_LAST},
-    {"waited 100 ms of the 200 ms that it may: 3 times the slots, not 5",
+    {"waited 100 ms of 200 ms: limit 3 times the slots, not 5",
      {.slots = 3,
       .busy = 9,
       .best_share = 99,
@@ -90,7 +90,7 @@
       .waited_us = 100 * MS},
      RP_VERDICT_REFUSE,
      RP_COUNT_REFUSED_BUSY},
-    {"a little less busy",
+    {"waited 100 ms of 200 ms: below the limit of 3 times the slots",
      {.slots = 3,
       .busy = 8,
       .best_share = 99,
@@ -101,7 +101,7 @@
       .waited_us = 100 * MS},
      RP_VERDICT_TAKE,
      RP_COUNT_FLOW_ADMITTED_LAST},
-    {"late already: not behind others",
+    {"waited longer than the target: refused when all slots are busy",
      {.slots = 3,
       .busy = 3,
       .best_share = 99,
@@ -111,7 +111,7 @@
       .waited_us = 600 * MS},
      RP_VERDICT_REFUSE,
      RP_COUNT_REFUSED_BUSY},
-    {"late already: where a slot is free",
+    {"waited longer than the target: admitted to a free slot",
      {.slots = 3,
       .busy = 2,
       .best_share = 99,
@@ -122,7 +122,7 @@
       .waited_us = 600 * MS},
      RP_VERDICT_TAKE,
      RP_COUNT_FLOW_ADMITTED},
-    {"waited, but nobody says how long is too long",
+    {"waited, but no target known: limit 3 times the slots",
      {.slots = 3,
       .busy = 8,
       .best_share = 99,
@@ -134,7 +134,7 @@
 };
 
 static void
-test_bounded(void **state)
+test_latency_policy(void **state)
 {
     struct rp_admission *policy = RpAdmission_CreateBounded();
 
@@ -156,7 +156,7 @@
 main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_bounded),
+        cmocka_unit_test(test_latency_policy),
     };
 
     return cmocka_run_group_tests(tests, NULL, NULL);
