--- a/lib/flow/rp_gate.c
+++ b/lib/flow/rp_gate.c
@@ -3,8 +3,8 @@
 #include <assert.h>
 #include <glib.h>
 
-/* A kept request. */
-struct kept {
+/* A request that waits for a slot. */
+struct waiting_request {
     struct rp_flow_key caller;
     int64_t deadline;
 };
@@ -12,10 +12,10 @@
 struct rp_gate {
     uint32_t slots;
     uint32_t long_slots;
-    uint32_t inside;
-    uint32_t long_inside;
-    GQueue short_work; /* of struct kept, oldest first */
-    GQueue long_work;
+    uint32_t active;      /* started requests, including long ones */
+    uint32_t active_long; /* started long requests */
+    GQueue waiting_short; /* of struct waiting_request, oldest first */
+    GQueue waiting_long;  /* of struct waiting_request, oldest first */
 };
 
 struct rp_gate *
@@ -23,8 +23,8 @@
 {
     struct rp_gate *gate = g_new0(struct rp_gate, 1);
 
-    g_queue_init(&gate->short_work);
-    g_queue_init(&gate->long_work);
+    g_queue_init(&gate->waiting_short);
+    g_queue_init(&gate->waiting_long);
     RpGate_SetSlots(gate, slots, long_slots);
     return gate;
 }
@@ -33,8 +33,8 @@
 RpGate_Free(struct rp_gate *gate)
 {
     if (gate) {
-        g_queue_clear_full(&gate->short_work, g_free);
-        g_queue_clear_full(&gate->long_work, g_free);
+        g_queue_clear_full(&gate->waiting_short, g_free);
+        g_queue_clear_full(&gate->waiting_long, g_free);
         g_free(gate);
     }
 }
@@ -47,89 +47,91 @@
 }
 
 static bool
-has_room(const struct rp_gate *gate, bool is_long)
+has_free_slot(const struct rp_gate *gate, bool is_long)
 {
-    return gate->inside < gate->slots &&
-           (!is_long || gate->long_inside < gate->long_slots);
+    return gate->active < gate->slots &&
+           (!is_long || gate->active_long < gate->long_slots);
 }
 
 static void
-let_in(struct rp_gate *gate, bool is_long)
+occupy_slot(struct rp_gate *gate, bool is_long)
 {
-    gate->inside++;
-    gate->long_inside += is_long;
+    gate->active++;
+    gate->active_long += is_long;
 }
 
 bool
 RpGate_Enter(struct rp_gate *gate, int64_t now, struct rp_flow_key caller,
              bool is_long)
 {
-    GQueue *queue = is_long ? &gate->long_work : &gate->short_work;
-    bool room = queue->length == 0 && has_room(gate, is_long);
+    GQueue *queue = is_long ? &gate->waiting_long : &gate->waiting_short;
+    bool can_start = queue->length == 0 && has_free_slot(gate, is_long);
 
-    if (room || RpGate_Kept(gate) >= RP_GATE_MAX) {
-        let_in(gate, is_long);
+    if (can_start || RpGate_Kept(gate) >= RP_GATE_MAX) {
+        occupy_slot(gate, is_long);
         return true;
     }
-    struct kept *kept = g_new(struct kept, 1);
-    kept->caller = caller;
-    kept->deadline = now + RP_GATE_HOLD_US;
-    g_queue_push_tail(queue, kept);
+    struct waiting_request *request = g_new(struct waiting_request, 1);
+    request->caller = caller;
+    request->deadline = now + RP_GATE_HOLD_US;
+    g_queue_push_tail(queue, request);
     return false;
 }
 
 void
 RpGate_Leave(struct rp_gate *gate, bool is_long)
 {
-    assert(gate->inside > 0 && (!is_long || gate->long_inside > 0));
-    gate->inside--;
-    gate->long_inside -= is_long;
+    assert(gate->active > 0 && (!is_long || gate->active_long > 0));
+    gate->active--;
+    gate->active_long -= is_long;
 }
 
 static bool
-is_due(const GQueue *queue, int64_t now)
+is_first_due(const GQueue *queue, int64_t now)
 {
-    const struct kept *first = queue->head ? queue->head->data : NULL;
+    const struct waiting_request *first = queue->head ? queue->head->data
+                                                      : NULL;
 
     return first && first->deadline <= now;
 }
 
 static void
-take_first(struct rp_gate *gate, GQueue *queue, bool is_long,
-           struct rp_flow_key *caller)
+start_first(struct rp_gate *gate, GQueue *queue, bool is_long,
+            struct rp_flow_key *caller)
 {
-    struct kept *first = g_queue_pop_head(queue);
+    struct waiting_request *first = g_queue_pop_head(queue);
 
     *caller = first->caller;
     g_free(first);
-    let_in(gate, is_long);
+    occupy_slot(gate, is_long);
 }
 
 bool
 RpGate_Next(struct rp_gate *gate, int64_t now, struct rp_flow_key *caller,
             bool *is_long)
 {
-    bool take_short = gate->short_work.length > 0 &&
-                      (has_room(gate, false) ||
-                       is_due(&gate->short_work, now));
-    bool take_long = gate->long_work.length > 0 &&
-                     (has_room(gate, true) || is_due(&gate->long_work, now));
+    bool start_short = gate->waiting_short.length > 0 &&
+                       (has_free_slot(gate, false) ||
+                        is_first_due(&gate->waiting_short, now));
+    bool start_long = gate->waiting_long.length > 0 &&
+                      (has_free_slot(gate, true) ||
+                       is_first_due(&gate->waiting_long, now));
 
-    if (!take_short && !take_long) {
+    if (!start_short && !start_long) {
         return false;
     }
-    *is_long = !take_short;
-    take_first(gate, take_short ? &gate->short_work : &gate->long_work,
-               *is_long, caller);
+    *is_long = !start_short;
+    start_first(gate, start_short ? &gate->waiting_short : &gate->waiting_long,
+                *is_long, caller);
     return true;
 }
 
 static bool
-cancel_in(GQueue *queue, struct rp_flow_key caller)
+remove_waiting(GQueue *queue, struct rp_flow_key caller)
 {
     for (GList *link = queue->head; link; link = link->next) {
-        const struct kept *kept = link->data;
-        if (RpFlowKey_Equal(kept->caller, caller)) {
+        const struct waiting_request *request = link->data;
+        if (RpFlowKey_Equal(request->caller, caller)) {
             g_free(link->data);
             g_queue_delete_link(queue, link);
             return true;
@@ -141,14 +143,15 @@
 bool
 RpGate_Cancel(struct rp_gate *gate, struct rp_flow_key caller)
 {
-    return cancel_in(&gate->short_work, caller) ||
-           cancel_in(&gate->long_work, caller);
+    return remove_waiting(&gate->waiting_short, caller) ||
+           remove_waiting(&gate->waiting_long, caller);
 }
 
 static int64_t
 first_deadline(const GQueue *queue)
 {
-    const struct kept *first = queue->head ? queue->head->data : NULL;
+    const struct waiting_request *first = queue->head ? queue->head->data
+                                                      : NULL;
 
     return first ? first->deadline : RP_NEVER;
 }
@@ -156,18 +159,18 @@
 int64_t
 RpGate_NextDeadline(const struct rp_gate *gate)
 {
-    return MIN(first_deadline(&gate->short_work),
-               first_deadline(&gate->long_work));
+    return MIN(first_deadline(&gate->waiting_short),
+               first_deadline(&gate->waiting_long));
 }
 
 uint32_t
 RpGate_Kept(const struct rp_gate *gate)
 {
-    return gate->short_work.length + gate->long_work.length;
+    return gate->waiting_short.length + gate->waiting_long.length;
 }
 
 uint32_t
 RpGate_Inside(const struct rp_gate *gate)
 {
-    return gate->inside;
+    return gate->active;
 }
--- a/lib/flow/rp_gate.h
+++ b/lib/flow/rp_gate.h
@@ -1,11 +1,12 @@
-/* The gate in front of a host: which request goes in next.
+/* The request queue in front of a host: limits how many requests the host
+ * serves at once.
  *
  * A connection is placed once, but its requests come at any time, so more
- * of them can be under way than the host has slots. Left alone they queue
- * in the host, short ones behind long ones. The gate keeps them instead,
- * lets short work in first, and lets work that is known to be long fill at
- * most a share of the slots. Nothing is dropped: what has waited until its
- * deadline goes in whatever the slots say.
+ * requests can be outstanding than the host has slots. Without a limit they
+ * queue in the host, short ones behind long ones. This queue holds them back
+ * instead. It starts short requests first, and requests that are expected to
+ * be long occupy at most some of the slots. No request is dropped: at its
+ * deadline a waiting request starts even if no slot is free.
  */
 #ifndef RP_GATE_H
 #define RP_GATE_H
@@ -16,42 +17,49 @@
 #include "rp_packet.h"
 #include "rp_time.h"
 
-/* Longest time that the gate keeps a request. */
+/* Longest time that a request waits, in microseconds. */
 #define RP_GATE_HOLD_US (2 * RP_US_PER_SECOND)
-#define RP_GATE_MAX 4096 /* requests kept at once */
+#define RP_GATE_MAX 4096 /* most requests waiting */
 
 struct rp_gate;
 
-/* A gate for `slots` slots, of which long work may fill `long_slots`. */
+/* Creates the queue of a host with `slots` slots, of which long requests may
+ * occupy `long_slots`. Release it with RpGate_Free. */
 struct rp_gate *RpGate_Create(uint32_t slots, uint32_t long_slots);
 
 void RpGate_Free(struct rp_gate *gate);
 
-/* Changes the slots, as during a cold start. */
+/* Changes the number of slots, for example during a cold start. Both numbers
+ * become at least 1, and `long_slots` at most `slots`. */
 void RpGate_SetSlots(struct rp_gate *gate, uint32_t slots,
                      uint32_t long_slots);
 
-/* A request of `caller` wants in. True: it is in now. False: it is kept
- * until RpGate_Next names its caller. */
+/* Handles a new request of `caller`. Returns true if it starts now: it has a
+ * free slot, or RP_GATE_MAX requests wait already. Returns false if it waits
+ * until RpGate_Next returns its caller. `now` is in microseconds. */
 bool RpGate_Enter(struct rp_gate *gate, int64_t now, struct rp_flow_key caller,
                   bool is_long);
 
-/* A request that was in has its answer. */
+/* Frees the slot of a started request that is answered or has ended without
+ * an answer. `is_long` must be as it was when the request started. */
 void RpGate_Leave(struct rp_gate *gate, bool is_long);
 
-/* The next kept request that goes in now; it counts as in. False if none
- * does. `*is_long` is how it was entered. */
+/* Starts the next waiting request that has a free slot or whose deadline has
+ * passed. Returns false if there is none. `*is_long` becomes the value that
+ * RpGate_Enter got. */
 bool RpGate_Next(struct rp_gate *gate, int64_t now, struct rp_flow_key *caller,
                  bool *is_long);
 
-/* A kept request that will never come. False if it was not kept. */
+/* Removes a waiting request. Returns false if `caller` has none. */
 bool RpGate_Cancel(struct rp_gate *gate, struct rp_flow_key caller);
 
-/* The first time at which a kept request goes in whatever the slots say. */
+/* Returns the earliest deadline of the waiting requests, or RP_NEVER. */
 int64_t RpGate_NextDeadline(const struct rp_gate *gate);
 
-/* Requests kept, and requests in. */
+/* Returns the number of waiting requests. */
 uint32_t RpGate_Kept(const struct rp_gate *gate);
+
+/* Returns the number of started requests, which occupy slots. */
 uint32_t RpGate_Inside(const struct rp_gate *gate);
 
 #endif
--- a/lib/flow/rp_work.h
+++ b/lib/flow/rp_work.h
@@ -1,11 +1,12 @@
-/* How long a request occupies a slot of the host, learned from its answers.
+/* Estimates how long a request occupies a slot of the host (its service
+ * time) from the times of the host's answers.
  *
- * Two things tell: a request that found a free slot, by the time until its
- * answer; and a host all of whose slots are busy, by the time between two
- * answers, which is a slot's share of the work. Without the second, nothing
- * is learned while requests queue, which is when it is needed: of a host that
- * starts cold under load, only the shortest of its first requests would be
- * known.
+ * There are two kinds of samples. A request that found a free slot gives the
+ * time until its answer. A host with requests waiting gives the time between
+ * two answers, multiplied by its number of slots. Without the second kind,
+ * nothing would be learned while requests queue, which is when admission
+ * needs the estimate: of a host that starts cold under load, only the
+ * shortest of its first requests would be known.
  */
 #ifndef RP_WORK_H
 #define RP_WORK_H
@@ -13,23 +14,25 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* A new time counts for 1/32 of the mean: enough to follow a cold start
- * within a second at 30 requests a second, and few enough that one in the
- * tail does not move it. The first ones count for as much as those before. */
+/* A sample's weight in the mean is 1 / RP_WORK_SHARE. At 30 requests per
+ * second the mean follows a cold start within a second, and a single outlier
+ * hardly moves it. The first samples all weigh the same. */
 #define RP_WORK_SHARE 32
 
 struct rp_work {
-    int64_t mean_us;  /* 0: nothing is known */
-    uint32_t samples; /* up to RP_WORK_SHARE */
-    int64_t last_answer;
-    bool was_full; /* requests waited for a slot after the last answer */
+    int64_t mean_us;     /* 0: no sample yet */
+    uint32_t samples;    /* at most RP_WORK_SHARE */
+    int64_t last_answer; /* its time, in microseconds */
+    bool was_full;       /* a request waited for the slot that it freed */
 };
 
-/* A request that had found a free slot took `took_us`. */
+/* Adds the time from a request that found a free slot to its answer. */
 void RpWork_Took(struct rp_work *work, int64_t took_us);
 
-/* An answer came at `now`; `busy` requests, with that one, were at the host,
- * which has `slots`. */
+/* Notes an answer at `now`, in microseconds. `busy` is the number of
+ * outstanding requests, including the answered one; `slots` is the host's
+ * number of slots. If requests waited at the previous answer, adds the time
+ * since then as a sample. */
 void RpWork_Answered(struct rp_work *work, int64_t now, uint32_t busy,
                      uint32_t slots);
 
--- a/tests/unit/test_work.c
+++ b/tests/unit/test_work.c
@@ -1,5 +1,5 @@
-/* What an agent learns of a host's work from its answers: a host in virtual
- * time with requests that come as given, by fixed seeds. */
+/* Tests the estimate of a host's service time, on a simulated host in virtual
+ * time with fixed seeds. */
 #include <glib.h>
 
 #include "check.h"
@@ -9,38 +9,40 @@
 #define SLOTS 7
 #define STEP_US (1 * RP_US_PER_MS)
 #define SEEDS 20
-/* A wait of half the wanted latency may be wrong by a quarter of that before
- * an answer that was promised in time is late. */
-#define WRONG_PERCENT 25
+/* Admission lets a request wait for half of its target latency. An estimate
+ * that is wrong by up to a quarter still leaves it time for an answer before
+ * the target. */
+#define MAX_ERROR_PERCENT 25
 #define ALL_PERCENT 100
 
-/* A load and the work that must be learned from it. */
+/* A load, and the service time that must be learned from it. */
 static const struct {
     const char *what;
-    uint32_t per_second; /* requests that come */
-    int64_t work_us;     /* mean; a request takes half to one and a half */
-    int64_t warm_at_us;  /* from then on it takes `warm_us` */
+    uint32_t per_second; /* rate of requests */
+    int64_t work_us;     /* mean service time; uniform from 0.5 to 1.5 of it */
+    int64_t warm_at_us;  /* when the mean changes to `warm_us` and the rate
+                          * rises to at least 400 per second */
     int64_t warm_us;
     int64_t until_us;
 } cases[] = {
-    {"a calm host", 40, 47000, RP_NEVER, 0, 4 * RP_US_PER_SECOND},
-    {"full from its first request on", 400, 75000, RP_NEVER, 0,
+    {"low load", 40, 47000, RP_NEVER, 0, 4 * RP_US_PER_SECOND},
+    {"overloaded from the first request on", 400, 75000, RP_NEVER, 0,
      1 * RP_US_PER_SECOND},
-    {"full and slow, later full and fast", 400, 75000, 2 * RP_US_PER_SECOND,
-     47000, 4 * RP_US_PER_SECOND},
-    {"slow and nearly idle, later full and fast", 20, 75000,
+    {"overloaded and slow, later overloaded and fast", 400, 75000,
+     2 * RP_US_PER_SECOND, 47000, 4 * RP_US_PER_SECOND},
+    {"nearly idle and slow, later overloaded and fast", 20, 75000,
      2 * RP_US_PER_SECOND, 47000, 5 * RP_US_PER_SECOND},
 };
 
 struct request {
-    int64_t came;
+    int64_t arrived;
     int64_t ends;
     bool found_free;
 };
 
-/* A host with a queue in front of its slots. */
+/* A simulated host with a queue in front of its slots. */
 struct host {
-    GRand *dice;
+    GRand *rng;
     struct rp_work work;
     struct request slot[SLOTS]; /* ends == 0: free */
     GQueue waiting;             /* of struct request */
@@ -58,11 +60,11 @@
 }
 
 static void
-answer(struct host *host, struct request *request, int64_t now)
+finish_request(struct host *host, struct request *request, int64_t now)
 {
     RpWork_Answered(&host->work, now, count_busy(host), SLOTS);
     if (request->found_free) {
-        RpWork_Took(&host->work, now - request->came);
+        RpWork_Took(&host->work, now - request->arrived);
     }
     request->ends = 0;
 }
@@ -72,7 +74,7 @@
 {
     for (unsigned i = 0; i < SLOTS; i++) {
         if (host->slot[i].ends != 0 && now >= host->slot[i].ends) {
-            answer(host, &host->slot[i], now);
+            finish_request(host, &host->slot[i], now);
         }
     }
     for (unsigned i = 0; i < SLOTS && host->waiting.length > 0; i++) {
@@ -81,17 +83,18 @@
             host->slot[i] = *next;
             host->slot[i].ends =
                 now + (int64_t)((double)work_us *
-                                g_rand_double_range(host->dice, 0.5, 1.5));
+                                g_rand_double_range(host->rng, 0.5, 1.5));
             g_free(next);
         }
     }
 }
 
+/* Simulates a case and returns the mean service time that was learned. */
 static int64_t
-learned(size_t number, uint32_t seed)
+simulate(size_t number, uint32_t seed)
 {
-    struct host host = {.dice = g_rand_new_with_seed(seed)};
-    int64_t due = 0;
+    struct host host = {.rng = g_rand_new_with_seed(seed)};
+    int64_t next_arrival = 0;
 
     g_queue_init(&host.waiting);
     for (int64_t now = 0; now < cases[number].until_us; now += STEP_US) {
@@ -99,12 +102,12 @@
         uint32_t rate = is_warm ? MAX(cases[number].per_second, 400)
                                 : cases[number].per_second;
         /* Admission bounds the queue. */
-        while (due <= now) {
-            due += RP_US_PER_SECOND / rate;
+        while (next_arrival <= now) {
+            next_arrival += RP_US_PER_SECOND / rate;
             uint32_t busy = count_busy(&host);
             if (busy < 4 * SLOTS) {
                 struct request *request = g_new0(struct request, 1);
-                request->came = now;
+                request->arrived = now;
                 request->found_free = busy < SLOTS;
                 g_queue_push_tail(&host.waiting, request);
             }
@@ -113,30 +116,32 @@
              is_warm ? cases[number].warm_us : cases[number].work_us);
     }
     g_queue_clear_full(&host.waiting, g_free);
-    g_rand_free(host.dice);
+    g_rand_free(host.rng);
     return host.work.mean_us;
 }
 
 static void
-test_learns(void **state)
+test_estimate_converges(void **state)
 {
     (void)state;
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
         int64_t truth = cases[i].warm_us ? cases[i].warm_us : cases[i].work_us;
         for (uint32_t seed = 1; seed <= SEEDS; seed++) {
-            int64_t found = learned(i, seed);
-            if (ABS(found - truth) * ALL_PERCENT > truth * WRONG_PERCENT) {
+            int64_t estimate = simulate(i, seed);
+            if (ABS(estimate - truth) * ALL_PERCENT >
+                truth * MAX_ERROR_PERCENT) {
                 fail_msg("%s, seed %u: %" G_GINT64_FORMAT
                          " us instead of %" G_GINT64_FORMAT,
-                         cases[i].what, seed, found, truth);
+                         cases[i].what, seed, estimate, truth);
             }
         }
     }
 }
 
-/* A pause in which nothing waited is not work. */
+/* The time between two answers does not count as service time if no request
+ * waited in it. */
 static void
-test_pause(void **state)
+test_idle_time_not_counted(void **state)
 {
     struct rp_work work = {0};
 
@@ -152,8 +157,8 @@
 main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_learns),
-        cmocka_unit_test(test_pause),
+        cmocka_unit_test(test_estimate_converges),
+        cmocka_unit_test(test_idle_time_not_counted),
     };
 
     return cmocka_run_group_tests(tests, NULL, NULL);
