--- a/lib/http/rp_http.c
+++ b/lib/http/rp_http.c
@@ -8,15 +8,15 @@
     GSocketAddress *address = g_inet_socket_address_new_from_string(
         RpIp_Format(listen.ip, text), listen.port);
     GError *failure = NULL;
-    gboolean good = soup_server_listen(server, address,
-                                       (SoupServerListenOptions)0, &failure);
+    gboolean is_listening = soup_server_listen(
+        server, address, (SoupServerListenOptions)0, &failure);
 
     g_object_unref(address);
-    if (good) {
+    if (is_listening) {
         return server;
     }
     RpError_Add(error, RP_ERR_IO, RpEndpoint_Format(listen, text),
-                "cannot serve HTTP: %s", failure->message);
+                "cannot listen for HTTP: %s", failure->message);
     g_error_free(failure);
     g_object_unref(server);
     return NULL;
--- a/lib/http/rp_http.h
+++ b/lib/http/rp_http.h
@@ -1,5 +1,5 @@
-/* Serving HTTP, for what a process offers on its own: the operator's
- * configurations, the platform's reports, metrics and health. */
+/* A small HTTP server for what a process serves itself: the operator's
+ * configuration, reports from hosts, metrics and health checks. */
 #ifndef RP_HTTP_H
 #define RP_HTTP_H
 
@@ -8,12 +8,13 @@
 #include "rp_endpoint.h"
 #include "rp_error.h"
 
-/* A server on `listen` without handlers; release it with g_object_unref. It
- * serves once the main loop runs. NULL with a finding at the address if that
- * cannot be listened on. */
+/* Creates a server that listens on `listen` and has no handlers yet. It
+ * serves while the main loop runs; release it with g_object_unref. Returns
+ * NULL and adds a finding to `error` if it cannot listen there. */
 SoupServer *RpHttp_Serve(struct rp_endpoint listen, struct rp_error *error);
 
-/* Answers a request with a body of the given media type; frees `body`. */
+/* Answers a request with status code `status` and a body of media type
+ * `type`. Takes ownership of `body`. */
 void RpHttp_Answer(SoupServerMessage *message, guint status, const char *type,
                    GString *body);
 
