--- a/lib/flow/rp_admission.h
+++ b/lib/flow/rp_admission.h
@@ -51,14 +51,14 @@
     uint32_t priority;   /* of the flow's address; 0 is the highest */
     uint32_t target_us;  /* target latency of requests; 0: unknown */
     uint32_t work_us;    /* mean service time of a request; 0: unknown */
-    uint32_t waited_us;  /* since the caller's first SYN; 0: just sent */
+    uint32_t waited_us;  /* since the caller's first SYN; 0: unknown */
 };
 
 enum rp_verdict {
     RP_VERDICT_TAKE,  /* admit the flow here */
     RP_VERDICT_PASS,  /* pass it on to the next candidate */
-    RP_VERDICT_BACK,  /* pass it to the earlier candidate with the lowest
-                       * share, which then admits it */
+    RP_VERDICT_BACK,  /* pass it back to the candidate with the lowest share,
+                       * which admits it unless it is at its flow limit */
     RP_VERDICT_REFUSE /* reset it: no candidate can serve it in time */
 };
 
--- a/lib/flow/rp_gate.h
+++ b/lib/flow/rp_gate.h
@@ -34,9 +34,10 @@
 void RpGate_SetSlots(struct rp_gate *gate, uint32_t slots,
                      uint32_t long_slots);
 
-/* Handles a new request of `caller`. Returns true if it starts now: it has a
- * free slot, or RP_GATE_MAX requests wait already. Returns false if it waits
- * until RpGate_Next returns its caller. `now` is in microseconds. */
+/* Adds a new request of `caller`. Returns true if it starts now, as there is
+ * a free slot and no request of its kind is waiting, or as RP_GATE_MAX
+ * requests are waiting. Returns false if it waits until RpGate_Next returns
+ * its caller. `now` is in microseconds. */
 bool RpGate_Enter(struct rp_gate *gate, int64_t now, struct rp_flow_key caller,
                   bool is_long);
 
--- a/lib/flow/rp_table.h
+++ b/lib/flow/rp_table.h
@@ -23,8 +23,8 @@
 #include "rp_msg.h"
 #include "rp_packet.h"
 
-#define RP_CHAIN_LENGTH 3 /* most candidates that a balancer lists per flow   \
-                           */
+/* Most candidates that a balancer lists for a flow. */
+#define RP_CHAIN_LENGTH 3
 
 /* Bit sets of member states, for RpService_Rank. */
 #define RP_MEMBERS_READY (1u << RP_UPSTREAM_READY)
@@ -43,7 +43,7 @@
     bool is_near; /* in the preferred zone */
 };
 
-/* A virtual address of the configuration in force. New flows to it are
+/* A virtual address of the configuration in force. Flows to it are
  * divided among its target services in proportion to their weights. The
  * address of a service itself needs no such entry. */
 struct rp_vip {
@@ -63,10 +63,10 @@
     struct rp_name name;
     struct rp_endpoint address;
     struct rp_service_tag tag;
-    uint32_t flows_per_upstream;
-    uint32_t retries_percent;
-    uint32_t silence_ms;
-    uint32_t long_slots_percent;
+    uint32_t flows_per_upstream; /* most open flows of one upstream */
+    uint32_t retries_percent;    /* retries per 100 admitted flows */
+    uint32_t silence_ms; /* how long an end may owe an acknowledgement */
+    uint32_t long_slots_percent; /* slots that long requests may occupy */
     size_t count;
     struct rp_member *members;
 };
