--- a/lib/flow/rp_admission.c
+++ b/lib/flow/rp_admission.c
@@ -62,8 +62,9 @@
 struct rp_admission *
 RpAdmission_CreateBound(void)
 {
-    static const struct rp_admission_ops ops = {
-        .name = "bound", .decide = decide_by_free_slot, .free = free_policy};
+    static const struct rp_admission_ops ops = {.name = "free-slot",
+                                                .decide = decide_by_free_slot,
+                                                .free = free_policy};
 
     return create_policy(&ops);
 }
@@ -72,14 +73,14 @@
 decide_by_least_busy(struct rp_admission *policy, const struct rp_load *load,
                      enum rp_counter *reason)
 {
-    enum rp_verdict verdict = decide_by_free_slot(policy, load, reason);
+    enum rp_verdict decision = decide_by_free_slot(policy, load, reason);
 
     if (*reason == RP_COUNT_FLOW_ADMITTED_LAST &&
         load->best_share < RpLoad_Share(load)) {
         *reason = RP_COUNT_PASS_BACK;
         return RP_VERDICT_BACK;
     }
-    return verdict;
+    return decision;
 }
 
 uint32_t
@@ -105,8 +106,8 @@
 }
 
 static enum rp_verdict
-decide_by_latency(struct rp_admission *policy, const struct rp_load *load,
-                  enum rp_counter *reason)
+decide_by_latency_target(struct rp_admission *policy,
+                         const struct rp_load *load, enum rp_counter *reason)
 {
     if (load->last &&
         MIN(load->best_share, RpLoad_Share(load)) >= RpLoad_FullShare(load)) {
@@ -120,7 +121,9 @@
 RpAdmission_CreateBounded(void)
 {
     static const struct rp_admission_ops ops = {
-        .name = "bounded", .decide = decide_by_latency, .free = free_policy};
+        .name = "latency-target",
+        .decide = decide_by_latency_target,
+        .free = free_policy};
 
     return create_policy(&ops);
 }
@@ -128,8 +131,9 @@
 struct rp_admission *
 RpAdmission_CreateLeast(void)
 {
-    static const struct rp_admission_ops ops = {
-        .name = "least", .decide = decide_by_least_busy, .free = free_policy};
+    static const struct rp_admission_ops ops = {.name = "least-busy",
+                                                .decide = decide_by_least_busy,
+                                                .free = free_policy};
 
     return create_policy(&ops);
 }
--- a/lib/flow/rp_gate.h
+++ b/lib/flow/rp_gate.h
@@ -27,40 +27,40 @@
  * occupy `long_slots`. Release it with RpGate_Free. */
 struct rp_gate *RpGate_Create(uint32_t slots, uint32_t long_slots);
 
-void RpGate_Free(struct rp_gate *gate);
+void RpGate_Free(struct rp_gate *queue);
 
 /* Changes the number of slots, for example during a cold start. Both numbers
  * become at least 1, and `long_slots` at most `slots`. */
-void RpGate_SetSlots(struct rp_gate *gate, uint32_t slots,
+void RpGate_SetSlots(struct rp_gate *queue, uint32_t slots,
                      uint32_t long_slots);
 
 /* Adds a new request of `caller`. Returns true if it starts now, as there is
  * a free slot and no request of its kind is waiting, or as RP_GATE_MAX
  * requests are waiting. Returns false if it waits until RpGate_Next returns
  * its caller. `now` is in microseconds. */
-bool RpGate_Enter(struct rp_gate *gate, int64_t now, struct rp_flow_key caller,
-                  bool is_long);
+bool RpGate_Enter(struct rp_gate *queue, int64_t now,
+                  struct rp_flow_key caller, bool is_long);
 
 /* Frees the slot of a started request that is answered or has ended without
  * an answer. `is_long` must be as it was when the request started. */
-void RpGate_Leave(struct rp_gate *gate, bool is_long);
+void RpGate_Leave(struct rp_gate *queue, bool is_long);
 
 /* Starts the next waiting request that has a free slot or whose deadline has
  * passed. Returns false if there is none. `*is_long` becomes the value that
  * RpGate_Enter got. */
-bool RpGate_Next(struct rp_gate *gate, int64_t now, struct rp_flow_key *caller,
-                 bool *is_long);
+bool RpGate_Next(struct rp_gate *queue, int64_t now,
+                 struct rp_flow_key *caller, bool *is_long);
 
 /* Removes a waiting request. Returns false if `caller` has none. */
-bool RpGate_Cancel(struct rp_gate *gate, struct rp_flow_key caller);
+bool RpGate_Cancel(struct rp_gate *queue, struct rp_flow_key caller);
 
 /* Returns the earliest deadline of the waiting requests, or RP_NEVER. */
-int64_t RpGate_NextDeadline(const struct rp_gate *gate);
+int64_t RpGate_NextDeadline(const struct rp_gate *queue);
 
 /* Returns the number of waiting requests. */
-uint32_t RpGate_Kept(const struct rp_gate *gate);
+uint32_t RpGate_Kept(const struct rp_gate *queue);
 
 /* Returns the number of started requests, which occupy slots. */
-uint32_t RpGate_Inside(const struct rp_gate *gate);
+uint32_t RpGate_Inside(const struct rp_gate *queue);
 
 #endif
--- a/lib/flow/rp_work.h
+++ b/lib/flow/rp_work.h
@@ -27,13 +27,13 @@
 };
 
 /* Adds the time from a request that found a free slot to its answer. */
-void RpWork_Took(struct rp_work *work, int64_t took_us);
+void RpWork_Took(struct rp_work *estimate, int64_t took_us);
 
 /* Notes an answer at `now`, in microseconds. `busy` is the number of
  * outstanding requests, including the answered one; `slots` is the host's
  * number of slots. If requests waited at the previous answer, adds the time
  * since then as a sample. */
-void RpWork_Answered(struct rp_work *work, int64_t now, uint32_t busy,
+void RpWork_Answered(struct rp_work *estimate, int64_t now, uint32_t busy,
                      uint32_t slots);
 
 #endif
--- a/tests/unit/test_admission.c
+++ b/tests/unit/test_admission.c
@@ -12,7 +12,7 @@
 static const struct {
     const char *what;
     struct rp_load load;
-    enum rp_verdict verdict;
+    enum rp_verdict decision;
     enum rp_counter reason;
 } cases[] = {
     {"a free slot",
@@ -143,9 +143,9 @@
         struct rp_load load = cases[i].load;
         enum rp_counter reason = RP_COUNTER_COUNT;
         load.flow_limit = 1000;
-        enum rp_verdict verdict = RpAdmission_Decide(policy, &load, &reason);
-        if (verdict != cases[i].verdict || reason != cases[i].reason) {
-            fail_msg("%s: verdict %d, reason %s", cases[i].what, verdict,
+        enum rp_verdict decision = RpAdmission_Decide(policy, &load, &reason);
+        if (decision != cases[i].decision || reason != cases[i].reason) {
+            fail_msg("%s: decision %d, reason %s", cases[i].what, decision,
                      RpCounter_Name(reason));
         }
     }
--- a/tests/unit/test_work.c
+++ b/tests/unit/test_work.c
@@ -18,10 +18,10 @@
 /* A load, and the service time that must be learned from it. */
 static const struct {
     const char *what;
-    uint32_t per_second; /* rate of requests */
-    int64_t work_us;     /* mean service time; uniform from 0.5 to 1.5 of it */
-    int64_t warm_at_us;  /* when the mean changes to `warm_us` and the rate
-                          * rises to at least 400 per second */
+    uint32_t per_second;     /* rate of requests */
+    int64_t service_time_us; /* mean; uniform from 0.5 to 1.5 of it */
+    int64_t warm_at_us;      /* when the mean changes to `warm_us` and the rate
+                              * rises to at least 400 per second */
     int64_t warm_us;
     int64_t until_us;
 } cases[] = {
@@ -43,7 +43,7 @@
 /* A simulated host with a queue in front of its slots. */
 struct host {
     GRand *rng;
-    struct rp_work work;
+    struct rp_work estimate;
     struct request slot[SLOTS]; /* ends == 0: free */
     GQueue waiting;             /* of struct request */
 };
@@ -62,15 +62,15 @@
 static void
 finish_request(struct host *host, struct request *request, int64_t now)
 {
-    RpWork_Answered(&host->work, now, count_busy(host), SLOTS);
+    RpWork_Answered(&host->estimate, now, count_busy(host), SLOTS);
     if (request->found_free) {
-        RpWork_Took(&host->work, now - request->arrived);
+        RpWork_Took(&host->estimate, now - request->arrived);
     }
     request->ends = 0;
 }
 
 static void
-step(struct host *host, int64_t now, int64_t work_us)
+step(struct host *host, int64_t now, int64_t service_time_us)
 {
     for (unsigned i = 0; i < SLOTS; i++) {
         if (host->slot[i].ends != 0 && now >= host->slot[i].ends) {
@@ -82,7 +82,7 @@
             struct request *next = g_queue_pop_head(&host->waiting);
             host->slot[i] = *next;
             host->slot[i].ends =
-                now + (int64_t)((double)work_us *
+                now + (int64_t)((double)service_time_us *
                                 g_rand_double_range(host->rng, 0.5, 1.5));
             g_free(next);
         }
@@ -113,11 +113,11 @@
             }
         }
         step(&host, now,
-             is_warm ? cases[number].warm_us : cases[number].work_us);
+             is_warm ? cases[number].warm_us : cases[number].service_time_us);
     }
     g_queue_clear_full(&host.waiting, g_free);
     g_rand_free(host.rng);
-    return host.work.mean_us;
+    return host.estimate.mean_us;
 }
 
 static void
@@ -125,7 +125,8 @@
 {
     (void)state;
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
-        int64_t truth = cases[i].warm_us ? cases[i].warm_us : cases[i].work_us;
+        int64_t truth = cases[i].warm_us ? cases[i].warm_us
+                                         : cases[i].service_time_us;
         for (uint32_t seed = 1; seed <= SEEDS; seed++) {
             int64_t estimate = simulate(i, seed);
             if (ABS(estimate - truth) * ALL_PERCENT >
@@ -143,14 +144,14 @@
 static void
 test_idle_time_not_counted(void **state)
 {
-    struct rp_work work = {0};
+    struct rp_work estimate = {0};
 
     (void)state;
-    RpWork_Answered(&work, 1000, SLOTS + 1, SLOTS);
-    RpWork_Answered(&work, 2000, SLOTS, SLOTS);
-    RpWork_Answered(&work, 9000000, 1, SLOTS);
-    RpWork_Answered(&work, 9001000, SLOTS + 2, SLOTS);
-    assert_int_equal(work.mean_us, SLOTS * 1000);
+    RpWork_Answered(&estimate, 1000, SLOTS + 1, SLOTS);
+    RpWork_Answered(&estimate, 2000, SLOTS, SLOTS);
+    RpWork_Answered(&estimate, 9000000, 1, SLOTS);
+    RpWork_Answered(&estimate, 9001000, SLOTS + 2, SLOTS);
+    assert_int_equal(estimate.mean_us, SLOTS * 1000);
 }
 
 int
