--- a/lib/flow/rp_admission.c
+++ b/lib/flow/rp_admission.c
@@ -7,9 +7,9 @@
 uint8_t
 RpLoad_Share(const struct rp_load *load)
 {
-    uint64_t share = (uint64_t)load->busy * RP_SHARE_UNIT / load->slots;
+    uint64_t utilisation = (uint64_t)load->busy * RP_SHARE_UNIT / load->slots;
 
-    return (uint8_t)MIN(share, RP_SHARE_MAX - 1);
+    return (uint8_t)MIN(utilisation, RP_SHARE_MAX - 1);
 }
 
 enum rp_verdict
@@ -101,8 +101,9 @@
                                         : RP_WAIT_PERCENT_OTHERS;
     uint64_t wait_us = load->target_us * percent / ALL_PERCENT;
     wait_us -= MIN(wait_us, load->waited_us);
-    uint64_t share = RP_SHARE_UNIT + wait_us * RP_SHARE_UNIT / load->work_us;
-    return (uint32_t)CLAMP(share, RP_FULL_SHARE_LEAST, RP_SHARE_MAX - 1);
+    uint64_t utilisation = RP_SHARE_UNIT +
+                           wait_us * RP_SHARE_UNIT / load->work_us;
+    return (uint32_t)CLAMP(utilisation, RP_FULL_SHARE_LEAST, RP_SHARE_MAX - 1);
 }
 
 static enum rp_verdict
--- a/lib/flow/rp_admission.h
+++ b/lib/flow/rp_admission.h
@@ -14,11 +14,12 @@
 
 #include "rp_counters.h"
 
-/* A share is an upstream's utilisation in fixed point: busy / slots in units
- * of 1 / RP_SHARE_UNIT. It exceeds RP_SHARE_UNIT while requests wait for a
- * slot. */
+/* The utilisation of an upstream is busy / slots in fixed point: a value of
+ * RP_SHARE_UNIT means that all slots are busy, and a higher one that requests
+ * wait for a slot. */
 #define RP_SHARE_UNIT 16
-#define RP_SHARE_MAX 255 /* as a lowest share: no earlier candidate */
+/* As the lowest utilisation of earlier candidates: there are none. */
+#define RP_SHARE_MAX 255
 
 /* The part of the target latency that a request may spend waiting for a slot,
  * in percent. The rest is for the network and for the request's own service
@@ -46,19 +47,20 @@
     uint32_t flows;      /* open flows */
     uint32_t flow_limit; /* most open flows */
     uint32_t position;   /* number of candidates that passed the flow on */
-    uint8_t best_share;  /* lowest share among these, or RP_SHARE_MAX */
+    uint8_t best_share;  /* lowest utilisation of these */
     bool last;           /* no candidate follows this one */
     uint32_t priority;   /* of the flow's address; 0 is the highest */
     uint32_t target_us;  /* target latency of requests; 0: unknown */
-    uint32_t work_us;    /* mean service time of a request; 0: unknown */
+    uint32_t work_us;    /* mean of recent requests; 0: unknown */
     uint32_t waited_us;  /* since the caller's first SYN; 0: unknown */
 };
 
 enum rp_verdict {
-    RP_VERDICT_TAKE,  /* admit the flow here */
-    RP_VERDICT_PASS,  /* pass it on to the next candidate */
-    RP_VERDICT_BACK,  /* pass it back to the candidate with the lowest share,
-                       * which admits it unless it is at its flow limit */
+    RP_VERDICT_TAKE, /* admit the flow here */
+    RP_VERDICT_PASS, /* pass it on to the next candidate */
+    /* Pass it back to the least busy candidate, which admits it unless it is
+     * at its flow limit. */
+    RP_VERDICT_BACK,
     RP_VERDICT_REFUSE /* reset it: no candidate can serve it in time */
 };
 
@@ -103,12 +105,12 @@
                                    const struct rp_load *load,
                                    enum rp_counter *reason);
 
-/* Returns the share from which a request is refused, if the least busy
+/* Returns the utilisation from which a request is refused, if the least busy
  * candidate has reached it. */
 uint32_t RpLoad_FullShare(const struct rp_load *load);
 
-/* Returns the upstream's share: busy / slots in units of 1 / RP_SHARE_UNIT, at
- * most RP_SHARE_MAX - 1. */
+/* Returns busy / slots in units of 1 / RP_SHARE_UNIT, at most
+ * RP_SHARE_MAX - 1. */
 uint8_t RpLoad_Share(const struct rp_load *load);
 
 #endif
--- a/lib/flow/rp_table.h
+++ b/lib/flow/rp_table.h
@@ -38,9 +38,9 @@
     struct rp_endpoint agent;
     uint32_t slots;         /* requests that it serves at once */
     uint32_t inverse_slots; /* 2^32 / (slots * zone weight) */
-    uint64_t seed;          /* hash of the name */
+    uint64_t seed;
     enum rp_upstream_state state;
-    bool is_near; /* in the preferred zone */
+    bool is_near;
 };
 
 /* A virtual address of the configuration in force. Flows to it are
--- a/tests/unit/test_admission.c
+++ b/tests/unit/test_admission.c
@@ -7,8 +7,8 @@
 
 #define MS 1000 /* microseconds */
 
-/* A load and the decision that it must lead to. Shares are in units of
- * 1 / RP_SHARE_UNIT. */
+/* A load and the decision that it must lead to. Utilisations are in
+ * units of 1 / RP_SHARE_UNIT. */
 static const struct {
     const char *what;
     struct rp_load load;
@@ -69,7 +69,7 @@
       .work_us = 100 * MS},
      RP_VERDICT_REFUSE,
      RP_COUNT_REFUSED_BUSY},
-    {"short service time: limit capped at the largest share",
+    {"short service time: limit capped at the largest utilisation",
      {.slots = 2,
       .busy = 31,
       .best_share = 253,
