--- a/lib/flow/rp_admission.h
+++ b/lib/flow/rp_admission.h
@@ -47,7 +47,7 @@
     uint32_t flows;      /* open flows */
     uint32_t flow_limit; /* most open flows */
     uint32_t position;   /* number of candidates that passed the flow on */
-    uint8_t best_share;  /* lowest utilisation of these */
+    uint8_t best_share;  /* among these candidates */
     bool last;           /* no candidate follows this one */
     uint32_t priority;   /* of the flow's address; 0 is the highest */
     uint32_t target_us;  /* target latency of requests; 0: unknown */
--- a/lib/flow/rp_flow_table.h
+++ b/lib/flow/rp_flow_table.h
@@ -17,21 +17,34 @@
 
 #define RP_FLOW_SHARDS 64 /* a power of two */
 
-/* Flag bits of a flow. ISN: initial sequence number. */
+/* Flag bits of a flow. */
+/* The initial sequence numbers are known. */
 #define RP_FLOW_KNOWS_CALLER_ISN 0x01
 #define RP_FLOW_KNOWS_HOST_ISN 0x02
-#define RP_FLOW_BUSY 0x04     /* a request is outstanding */
-#define RP_FLOW_PROBED 0x08   /* both ends were probed and have not answered */
-#define RP_FLOW_OWNED 0x10    /* counts against this agent's limits */
-#define RP_FLOW_RESERVED 0x20 /* busy for a request that has not come yet */
-#define RP_FLOW_UNSURE 0x40   /* passed on, but the host may have the flow */
-#define RP_FLOW_ORPHAN 0x80   /* no owner known since `host_seen` */
-#define RP_FLOW_GATED 0x100   /* its request waits for a slot (rp_gate.h) */
-#define RP_FLOW_INSIDE 0x200  /* its request was started (rp_gate.h) */
-#define RP_FLOW_INSIDE_LONG 0x400 /* and was started as a long request */
-#define RP_FLOW_LONG 0x800        /* the answer to its last request was slow */
-#define RP_FLOW_AWAITED 0x1000    /* no byte of the answer has come yet */
-#define RP_FLOW_UNQUEUED 0x2000   /* a slot was free when its request came */
+/* A request is outstanding. */
+#define RP_FLOW_BUSY 0x04
+/* Both ends were probed and have not answered yet. */
+#define RP_FLOW_PROBED 0x08
+/* The flow counts against the limits of this agent. */
+#define RP_FLOW_OWNED 0x10
+/* The flow counts as busy for a request that has not come yet. */
+#define RP_FLOW_RESERVED 0x20
+/* The flow was passed on, but this agent's host may have it. */
+#define RP_FLOW_UNSURE 0x40
+/* No owner has been found since `host_seen`. */
+#define RP_FLOW_ORPHAN 0x80
+/* The request waits for a slot (rp_gate.h). */
+#define RP_FLOW_GATED 0x100
+/* The request was started (rp_gate.h). */
+#define RP_FLOW_INSIDE 0x200
+/* The request was started as a long one. */
+#define RP_FLOW_INSIDE_LONG 0x400
+/* The last answer was slow, so the next request counts as long. */
+#define RP_FLOW_LONG 0x800
+/* No byte of the answer has come yet. */
+#define RP_FLOW_AWAITED 0x1000
+/* A slot was free when the request came. */
+#define RP_FLOW_UNQUEUED 0x2000
 
 /* One flow. Times are in microseconds on the monotonic clock. */
 struct rp_flow {
