--- a/lib/flow/rp_admission.c
+++ b/lib/flow/rp_admission.c
@@ -101,9 +101,8 @@
                                         : RP_WAIT_PERCENT_OTHERS;
     uint64_t wait_us = load->target_us * percent / ALL_PERCENT;
     wait_us -= MIN(wait_us, load->waited_us);
-    uint64_t utilisation = RP_SHARE_UNIT +
-                           wait_us * RP_SHARE_UNIT / load->work_us;
-    return (uint32_t)CLAMP(utilisation, RP_FULL_SHARE_LEAST, RP_SHARE_MAX - 1);
+    uint64_t limit = RP_SHARE_UNIT + wait_us * RP_SHARE_UNIT / load->work_us;
+    return (uint32_t)CLAMP(limit, RP_FULL_SHARE_LEAST, RP_SHARE_MAX - 1);
 }
 
 static enum rp_verdict
--- a/lib/flow/rp_table.h
+++ b/lib/flow/rp_table.h
@@ -85,7 +85,11 @@
                         uint32_t weight);
 
 /* Applies a whole table or a change from control. Returns RP_ERR_CONFLICT
- * and changes nothing if the update's revision is lower than the table's. */
+ * and changes nothing if the update's revision is lower than the table's.
+ *
+ * A service in the update replaces the service with the same id. If the
+ * update is marked `gathering`, members that only the old service has are
+ * kept. */
 enum rp_code RpTable_Apply(struct rp_table *table,
                            const struct rp_msg_table *update);
 
@@ -109,9 +113,10 @@
                                      struct rp_endpoint address);
 
 /* Returns the service that a flow to `address` goes to. If `address` is a
- * virtual address, the flow's hash selects one of its targets in proportion
- * to their weights; else the service with that address is returned. NULL if
- * there is neither, or if the table lacks the selected service. */
+ * virtual address whose targets have weights, the flow's hash selects one of
+ * them in proportion to the weights; else the service with that address is
+ * returned. NULL if there is neither, or if the table lacks the selected
+ * service. */
 const struct rp_service *RpTable_Resolve(const struct rp_table *table,
                                          struct rp_endpoint address,
                                          uint64_t flow_hash);
