--- a/lib/flow/rp_gate.c
+++ b/lib/flow/rp_gate.c
@@ -3,8 +3,8 @@
 #include <assert.h>
 #include <glib.h>
 
-/* A kept request. */
-struct kept {
+/* A request that waits for a slot. */
+struct waiting_request {
     struct rp_flow_key caller;
     int64_t deadline;
 };
@@ -12,126 +12,128 @@
 struct rp_gate {
     uint32_t slots;
     uint32_t long_slots;
-    uint32_t inside;
-    uint32_t long_inside;
-    GQueue short_work; /* of struct kept, oldest first */
-    GQueue long_work;
+    uint32_t active;      /* started requests, including long ones */
+    uint32_t active_long; /* started long requests */
+    GQueue waiting_short; /* of struct waiting_request, oldest first */
+    GQueue waiting_long;  /* of struct waiting_request, oldest first */
 };
 
 struct rp_gate *
 RpGate_Create(uint32_t slots, uint32_t long_slots)
 {
-    struct rp_gate *gate = g_new0(struct rp_gate, 1);
+    struct rp_gate *queue = g_new0(struct rp_gate, 1);
 
-    g_queue_init(&gate->short_work);
-    g_queue_init(&gate->long_work);
-    RpGate_SetSlots(gate, slots, long_slots);
-    return gate;
+    g_queue_init(&queue->waiting_short);
+    g_queue_init(&queue->waiting_long);
+    RpGate_SetSlots(queue, slots, long_slots);
+    return queue;
 }
 
 void
-RpGate_Free(struct rp_gate *gate)
+RpGate_Free(struct rp_gate *queue)
 {
-    if (gate) {
-        g_queue_clear_full(&gate->short_work, g_free);
-        g_queue_clear_full(&gate->long_work, g_free);
-        g_free(gate);
+    if (queue) {
+        g_queue_clear_full(&queue->waiting_short, g_free);
+        g_queue_clear_full(&queue->waiting_long, g_free);
+        g_free(queue);
     }
 }
 
 void
-RpGate_SetSlots(struct rp_gate *gate, uint32_t slots, uint32_t long_slots)
+RpGate_SetSlots(struct rp_gate *queue, uint32_t slots, uint32_t long_slots)
 {
-    gate->slots = MAX(slots, 1);
-    gate->long_slots = CLAMP(long_slots, 1, gate->slots);
+    queue->slots = MAX(slots, 1);
+    queue->long_slots = CLAMP(long_slots, 1, queue->slots);
 }
 
 static bool
-has_room(const struct rp_gate *gate, bool is_long)
+has_free_slot(const struct rp_gate *queue, bool is_long)
 {
-    return gate->inside < gate->slots &&
-           (!is_long || gate->long_inside < gate->long_slots);
+    return queue->active < queue->slots &&
+           (!is_long || queue->active_long < queue->long_slots);
 }
 
 static void
-let_in(struct rp_gate *gate, bool is_long)
+occupy_slot(struct rp_gate *queue, bool is_long)
 {
-    gate->inside++;
-    gate->long_inside += is_long;
+    queue->active++;
+    queue->active_long += is_long;
 }
 
 bool
-RpGate_Enter(struct rp_gate *gate, int64_t now, struct rp_flow_key caller,
+RpGate_Enter(struct rp_gate *queue, int64_t now, struct rp_flow_key caller,
              bool is_long)
 {
-    GQueue *queue = is_long ? &gate->long_work : &gate->short_work;
-    bool room = queue->length == 0 && has_room(gate, is_long);
+    GQueue *fifo = is_long ? &queue->waiting_long : &queue->waiting_short;
+    bool can_start = fifo->length == 0 && has_free_slot(queue, is_long);
 
-    if (room || RpGate_Kept(gate) >= RP_GATE_MAX) {
-        let_in(gate, is_long);
+    if (can_start || RpGate_Kept(queue) >= RP_GATE_MAX) {
+        occupy_slot(queue, is_long);
         return true;
     }
-    struct kept *kept = g_new(struct kept, 1);
-    kept->caller = caller;
-    kept->deadline = now + RP_GATE_HOLD_US;
-    g_queue_push_tail(queue, kept);
+    struct waiting_request *request = g_new(struct waiting_request, 1);
+    request->caller = caller;
+    request->deadline = now + RP_GATE_HOLD_US;
+    g_queue_push_tail(fifo, request);
     return false;
 }
 
 void
-RpGate_Leave(struct rp_gate *gate, bool is_long)
+RpGate_Leave(struct rp_gate *queue, bool is_long)
 {
-    assert(gate->inside > 0 && (!is_long || gate->long_inside > 0));
-    gate->inside--;
-    gate->long_inside -= is_long;
+    assert(queue->active > 0 && (!is_long || queue->active_long > 0));
+    queue->active--;
+    queue->active_long -= is_long;
 }
 
 static bool
-is_due(const GQueue *queue, int64_t now)
+is_first_due(const GQueue *fifo, int64_t now)
 {
-    const struct kept *first = queue->head ? queue->head->data : NULL;
+    const struct waiting_request *first = fifo->head ? fifo->head->data : NULL;
 
     return first && first->deadline <= now;
 }
 
 static void
-take_first(struct rp_gate *gate, GQueue *queue, bool is_long,
-           struct rp_flow_key *caller)
+start_first(struct rp_gate *queue, GQueue *fifo, bool is_long,
+            struct rp_flow_key *caller)
 {
-    struct kept *first = g_queue_pop_head(queue);
+    struct waiting_request *first = g_queue_pop_head(fifo);
 
     *caller = first->caller;
     g_free(first);
-    let_in(gate, is_long);
+    occupy_slot(queue, is_long);
 }
 
 bool
-RpGate_Next(struct rp_gate *gate, int64_t now, struct rp_flow_key *caller,
+RpGate_Next(struct rp_gate *queue, int64_t now, struct rp_flow_key *caller,
             bool *is_long)
 {
-    bool take_short = gate->short_work.length > 0 &&
-                      (has_room(gate, false) ||
-                       is_due(&gate->short_work, now));
-    bool take_long = gate->long_work.length > 0 &&
-                     (has_room(gate, true) || is_due(&gate->long_work, now));
+    bool start_short = queue->waiting_short.length > 0 &&
+                       (has_free_slot(queue, false) ||
+                        is_first_due(&queue->waiting_short, now));
+    bool start_long = queue->waiting_long.length > 0 &&
+                      (has_free_slot(queue, true) ||
+                       is_first_due(&queue->waiting_long, now));
 
-    if (!take_short && !take_long) {
+    if (!start_short && !start_long) {
         return false;
     }
-    *is_long = !take_short;
-    take_first(gate, take_short ? &gate->short_work : &gate->long_work,
-               *is_long, caller);
+    *is_long = !start_short;
+    start_first(queue,
+                start_short ? &queue->waiting_short : &queue->waiting_long,
+                *is_long, caller);
     return true;
 }
 
 static bool
-cancel_in(GQueue *queue, struct rp_flow_key caller)
+remove_waiting(GQueue *fifo, struct rp_flow_key caller)
 {
-    for (GList *link = queue->head; link; link = link->next) {
-        const struct kept *kept = link->data;
-        if (RpFlowKey_Equal(kept->caller, caller)) {
+    for (GList *link = fifo->head; link; link = link->next) {
+        const struct waiting_request *request = link->data;
+        if (RpFlowKey_Equal(request->caller, caller)) {
             g_free(link->data);
-            g_queue_delete_link(queue, link);
+            g_queue_delete_link(fifo, link);
             return true;
         }
     }
@@ -139,35 +141,35 @@
 }
 
 bool
-RpGate_Cancel(struct rp_gate *gate, struct rp_flow_key caller)
+RpGate_Cancel(struct rp_gate *queue, struct rp_flow_key caller)
 {
-    return cancel_in(&gate->short_work, caller) ||
-           cancel_in(&gate->long_work, caller);
+    return remove_waiting(&queue->waiting_short, caller) ||
+           remove_waiting(&queue->waiting_long, caller);
 }
 
 static int64_t
-first_deadline(const GQueue *queue)
+first_deadline(const GQueue *fifo)
 {
-    const struct kept *first = queue->head ? queue->head->data : NULL;
+    const struct waiting_request *first = fifo->head ? fifo->head->data : NULL;
 
     return first ? first->deadline : RP_NEVER;
 }
 
 int64_t
-RpGate_NextDeadline(const struct rp_gate *gate)
+RpGate_NextDeadline(const struct rp_gate *queue)
 {
-    return MIN(first_deadline(&gate->short_work),
-               first_deadline(&gate->long_work));
+    return MIN(first_deadline(&queue->waiting_short),
+               first_deadline(&queue->waiting_long));
 }
 
 uint32_t
-RpGate_Kept(const struct rp_gate *gate)
+RpGate_Kept(const struct rp_gate *queue)
 {
-    return gate->short_work.length + gate->long_work.length;
+    return queue->waiting_short.length + queue->waiting_long.length;
 }
 
 uint32_t
-RpGate_Inside(const struct rp_gate *gate)
+RpGate_Inside(const struct rp_gate *queue)
 {
-    return gate->inside;
+    return queue->active;
 }
