--- a/lib/control/rp_standing.h
+++ b/lib/control/rp_standing.h
@@ -22,8 +22,8 @@
 
 #include "rp_time.h"
 
-/* First wait before nodes are disconnected: twice RP_ELECTION_US, the longest
- * time that a replica waits before it asks for votes. */
+/* First wait before nodes are disconnected: twice RP_ELECTION_TIMEOUT_US, the
+ * longest time that a replica waits before it asks for votes. */
 #define RP_SEND_AWAY_MIN_US (1 * RP_US_PER_SECOND)
 /* Longest wait. The waits double and reach this value after five minutes, so
  * that nodes are disconnected about 20 times in one hour, the time for which
--- a/lib/state/rp_journal.c
+++ b/lib/state/rp_journal.c
@@ -67,7 +67,7 @@
     uint8_t header[RECORD_HEADER_SIZE] = {0};
     const uint8_t *payload = (const uint8_t *)record->payload.data;
 
-    assert(record->payload.len <= RP_RECORD_MAX);
+    assert(record->payload.len <= RP_RECORD_PAYLOAD_MAX);
     RpBytes_Put32(header, RECORD_MAGIC);
     RpBytes_Put32(header + 4, (uint32_t)record->payload.len);
     RpBytes_Put64(header + 8, number);
@@ -93,7 +93,8 @@
         return RECORD_TRUNCATED;
     }
     uint32_t payload_len = RpBytes_Get32(data + 4);
-    if (RpBytes_Get32(data) != RECORD_MAGIC || payload_len > RP_RECORD_MAX ||
+    if (RpBytes_Get32(data) != RECORD_MAGIC ||
+        payload_len > RP_RECORD_PAYLOAD_MAX ||
         RpBytes_Get32(data + 20) != (uint32_t)compute_checksum(data, 20)) {
         return RECORD_DAMAGED;
     }
--- a/lib/state/rp_journal.h
+++ b/lib/state/rp_journal.h
@@ -23,7 +23,7 @@
 #include "rp_str.h"
 
 #define RP_JOURNAL_FORMAT 1
-#define RP_RECORD_MAX (16u << 20) /* bytes of one record's payload */
+#define RP_RECORD_PAYLOAD_MAX (16u << 20) /* bytes of one record's payload */
 
 /* One record. The caller defines the kinds. */
 struct rp_record {
--- a/lib/state/rp_replica.c
+++ b/lib/state/rp_replica.c
@@ -56,8 +56,8 @@
      * longer wait gains nothing: a leader that still runs sends a heartbeat
      * by then, and the pre-vote keeps an election from deposing it. If all
      * members have restarted, the election starts earlier
-     * (rp_replica_start.c). */
-    replica->last_leader_contact = now - RP_ELECTION_US + RP_LEASE_US;
+     * (rp_replica_startup.c). */
+    replica->last_leader_contact = now - RP_ELECTION_TIMEOUT_US + RP_LEASE_US;
     replica->election_deadline = now + RP_LEASE_US +
                                  (int64_t)(g_rand_double(replica->rng) *
                                            (double)RP_LEASE_US / 2);
@@ -77,7 +77,7 @@
     g_array_free(replica->members, TRUE);
     g_array_free(replica->peers, TRUE);
     g_array_free(replica->round_send_times, TRUE);
-    RpLog_FreeSnapshot(replica->snapshot);
+    RpReplicaLog_FreeSnapshot(replica->snapshot);
     if (replica->snapshot_bytes) {
         g_string_free(replica->snapshot_bytes, TRUE);
     }
@@ -99,13 +99,13 @@
 RpReplica_LoadEntry(struct rp_replica *replica,
                     const struct rp_log_entry *entry)
 {
-    uint64_t next = RpLog_LastIndex(replica) + 1;
+    uint64_t next = RpReplicaLog_LastIndex(replica) + 1;
 
     if (entry->index > next) {
         return RP_ERR_CORRUPT;
     }
     if (entry->index == next) {
-        RpLog_Add(replica, entry);
+        RpReplicaLog_Append(replica, entry);
     }
     return RP_OK;
 }
@@ -113,20 +113,21 @@
 void
 RpReplica_LoadTruncate(struct rp_replica *replica, uint64_t index)
 {
-    RpLog_Truncate(replica, index);
+    RpReplicaLog_Truncate(replica, index);
 }
 
 void
 RpReplica_LoadSnapshot(struct rp_replica *replica,
                        const struct rp_snapshot *snapshot)
 {
-    RpLog_SetSnapshot(replica, snapshot);
+    RpReplicaLog_SetSnapshot(replica, snapshot);
     replica->commit_index = snapshot->index;
     replica->last_applied = snapshot->index;
 }
 
 struct rp_replica_action *
-RpReplica_Act(struct rp_replica *replica, enum rp_replica_action_kind kind)
+RpReplica_AddAction(struct rp_replica *replica,
+                    enum rp_replica_action_kind kind)
 {
     guint last = replica->actions->len;
 
@@ -138,9 +139,11 @@
 }
 
 void
-RpReplica_SendTo(struct rp_replica *replica, uint64_t to, struct rp_msg *msg)
+RpReplica_QueueMessage(struct rp_replica *replica, uint64_t to,
+                       struct rp_msg *msg)
 {
-    struct rp_replica_action *action = RpReplica_Act(replica, RP_REPLICA_SEND);
+    struct rp_replica_action *action = RpReplica_AddAction(replica,
+                                                           RP_REPLICA_SEND);
 
     action->to = to;
     action->msg = *msg;
@@ -165,20 +168,21 @@
 void
 RpReplica_StoreVote(struct rp_replica *replica)
 {
-    struct rp_replica_action *action = RpReplica_Act(replica,
-                                                     RP_REPLICA_STORE_VOTE);
+    struct rp_replica_action *action = RpReplica_AddAction(
+        replica, RP_REPLICA_STORE_VOTE);
 
     action->term = replica->term;
     action->voted_for = replica->voted_for;
 }
 
 void
-RpReplica_ResetElection(struct rp_replica *replica, int64_t now)
+RpReplica_ResetElectionTimer(struct rp_replica *replica, int64_t now)
 {
     double jitter = g_rand_double(replica->rng);
 
-    replica->election_deadline = now + RP_ELECTION_US +
-                                 (int64_t)(jitter * (double)RP_ELECTION_US);
+    replica->election_deadline = now + RP_ELECTION_TIMEOUT_US +
+                                 (int64_t)(jitter *
+                                           (double)RP_ELECTION_TIMEOUT_US);
 }
 
 void
@@ -191,7 +195,7 @@
         RpReplica_StoreVote(replica);
     }
     if (replica->role != RP_REPLICA_FOLLOWER) {
-        RpReplica_ResetElection(replica, now);
+        RpReplica_ResetElectionTimer(replica, now);
     }
     replica->role = RP_REPLICA_FOLLOWER;
     replica->leader_id = leader;
@@ -247,27 +251,27 @@
 RpReplica_ApplyCommitted(struct rp_replica *replica)
 {
     while (replica->last_applied < replica->commit_index) {
-        const struct rp_log_entry *entry = RpLog_At(replica,
-                                                    replica->last_applied + 1);
+        const struct rp_log_entry *entry = RpReplicaLog_EntryAt(
+            replica, replica->last_applied + 1);
         assert(entry);
-        RpReplica_Act(replica, RP_REPLICA_APPLY)->entry = entry;
+        RpReplica_AddAction(replica, RP_REPLICA_APPLY)->entry = entry;
         replica->last_applied++;
     }
 }
 
 const struct rp_log_entry *
-RpReplica_AppendOwn(struct rp_replica *replica, enum rp_entry_kind kind,
-                    const GString *data)
+RpReplica_AppendEntry(struct rp_replica *replica, enum rp_entry_kind kind,
+                      const GString *data)
 {
     GString *no_data = g_string_new(NULL);
-    const struct rp_log_entry entry = {.index = RpLog_LastIndex(replica) + 1,
-                                       .term = replica->term,
-                                       .kind = (uint8_t)kind,
-                                       .data = data ? (GString *)data
-                                                    : no_data};
-    const struct rp_log_entry *added = RpLog_Add(replica, &entry);
-
-    RpReplica_Act(replica, RP_REPLICA_STORE_ENTRY)->entry = added;
+    const struct rp_log_entry entry = {
+        .index = RpReplicaLog_LastIndex(replica) + 1,
+        .term = replica->term,
+        .kind = (uint8_t)kind,
+        .data = data ? (GString *)data : no_data};
+    const struct rp_log_entry *added = RpReplicaLog_Append(replica, &entry);
+
+    RpReplica_AddAction(replica, RP_REPLICA_STORE_ENTRY)->entry = added;
     g_string_free(no_data, TRUE);
     return added;
 }
@@ -280,14 +284,14 @@
         .list = RpSchema_NewList(&rp_replica_member_schema)};
     struct rp_replica_member voter = *self;
 
-    assert(RpLog_LastIndex(replica) == 0 && self->id == replica->id);
+    assert(RpReplicaLog_LastIndex(replica) == 0 && self->id == replica->id);
     voter.voter = 1;
     g_array_append_val(members.list, voter);
     GString *data = RpSchema_Encode(&rp_replica_members_schema, &members);
     replica->term = 1;
     replica->voted_for = replica->id;
     RpReplica_StoreVote(replica);
-    RpReplica_AppendOwn(replica, RP_ENTRY_MEMBERS, data);
+    RpReplica_AppendEntry(replica, RP_ENTRY_MEMBERS, data);
     g_string_free(data, TRUE);
     RpSchema_Clear(&rp_replica_members_schema, &members);
 }
@@ -297,11 +301,11 @@
 {
     const struct rp_replica_members list = {.list = (GArray *)members};
 
-    assert(RpLog_LastIndex(replica) == 0 && replica->term == 0);
+    assert(RpReplicaLog_LastIndex(replica) == 0 && replica->term == 0);
     GString *data = RpSchema_Encode(&rp_replica_members_schema, &list);
     replica->term = 1;
     RpReplica_StoreVote(replica);
-    RpReplica_AppendOwn(replica, RP_ENTRY_MEMBERS, data);
+    RpReplica_AppendEntry(replica, RP_ENTRY_MEMBERS, data);
     g_string_free(data, TRUE);
 }
 
@@ -324,10 +328,10 @@
         return;
     }
     if (now >= replica->election_deadline || is_sole_voter(replica)) {
-        RpReplica_StartTrial(replica, now);
+        RpReplica_StartPreVote(replica, now);
         return;
     }
-    RpReplica_StartTick(replica, now);
+    RpReplica_StartupTick(replica, now);
 }
 
 /* Returns the id of the replica that a message is addressed to; 0 if the
@@ -379,7 +383,7 @@
                   const struct rp_msg *msg)
 {
     if (msg->type == RP_MSG_JOIN) {
-        RpReplica_Join(replica, now, &msg->join.member, true);
+        RpReplica_HandleJoin(replica, now, &msg->join.member, true);
         return;
     }
     if (recipient_of(msg) != replica->id) {
@@ -387,7 +391,7 @@
     }
     switch (msg->type) {
     case RP_MSG_VOTE:
-        RpReplica_OnVote(replica, now, &msg->vote);
+        RpReplica_OnVoteRequest(replica, now, &msg->vote);
         break;
     case RP_MSG_VOTE_REPLY:
         RpReplica_OnVoteReply(replica, now, &msg->vote_reply);
@@ -413,9 +417,9 @@
     if (replica->role != RP_REPLICA_LEADER) {
         return RP_ERR_NO_LEADER;
     }
-    *index = RpReplica_AppendOwn(replica, RP_ENTRY_COMMAND, command)->index;
+    *index = RpReplica_AppendEntry(replica, RP_ENTRY_COMMAND, command)->index;
     RpReplica_AdvanceCommit(replica);
-    RpReplica_Broadcast(replica, now, false);
+    RpReplica_BroadcastAppend(replica, now, false);
     return RP_OK;
 }
 
@@ -425,11 +429,11 @@
     uint64_t term = 0;
 
     if (replica->role != RP_REPLICA_LEADER ||
-        !RpLog_TermAt(replica, replica->commit_index, &term) ||
+        !RpReplicaLog_TermAt(replica, replica->commit_index, &term) ||
         term != replica->term) {
         return 0;
     }
-    RpReplica_Broadcast(replica, now, true);
+    RpReplica_BroadcastAppend(replica, now, true);
     return replica->round;
 }
 
@@ -462,12 +466,13 @@
 {
     struct rp_snapshot snapshot = {
         .index = replica->last_applied,
-        .members = RpLog_MembersAt(replica, replica->last_applied),
+        .members = RpReplicaLog_MembersAt(replica, replica->last_applied),
         .data = (GString *)data};
-    bool known = RpLog_TermAt(replica, replica->last_applied, &snapshot.term);
+    bool known = RpReplicaLog_TermAt(replica, replica->last_applied,
+                                     &snapshot.term);
 
     assert(known);
-    RpLog_SetSnapshot(replica, &snapshot);
+    RpReplicaLog_SetSnapshot(replica, &snapshot);
     g_array_free(snapshot.members, TRUE);
 }
 
@@ -477,9 +482,9 @@
     uint64_t term = 0;
 
     if (replica->role == RP_REPLICA_LEADER) {
-        RpLog_TermAt(replica, replica->commit_index, &term);
+        RpReplicaLog_TermAt(replica, replica->commit_index, &term);
         return term == replica->term &&
-               RpReplica_QuorumContact(replica) > now - RP_LEASE_US;
+               RpReplica_LastQuorumContact(replica) > now - RP_LEASE_US;
     }
     /* An append counts only if the leader's lease was valid and the leader
      * had committed an entry of its own term: otherwise another leader may
@@ -507,7 +512,7 @@
     switch (replica->role) {
     case RP_REPLICA_LEADER:
         return "leader";
-    case RP_REPLICA_TRIAL:
+    case RP_REPLICA_PRE_CANDIDATE:
     case RP_REPLICA_CANDIDATE:
         return "candidate";
     default:
@@ -523,7 +528,7 @@
 }
 
 uint64_t
-RpReplica_Committed(const struct rp_replica *replica)
+RpReplica_CommitIndex(const struct rp_replica *replica)
 {
     return replica->commit_index;
 }
@@ -531,7 +536,7 @@
 uint64_t
 RpReplica_LastIndex(const struct rp_replica *replica)
 {
-    return RpLog_LastIndex(replica);
+    return RpReplicaLog_LastIndex(replica);
 }
 
 const GArray *
@@ -551,7 +556,7 @@
 {
     return !RpReplica_IsMember(replica) ||
            (replica->role != RP_REPLICA_LEADER &&
-            now - replica->last_leader_contact > RP_REJOIN_US);
+            now - replica->last_leader_contact > RP_REJOIN_TIMEOUT_US);
 }
 
 uint64_t
--- a/lib/state/rp_replica.h
+++ b/lib/state/rp_replica.h
@@ -13,7 +13,7 @@
  *   majority steps down. So a leader answers reads alone while its lease is
  *   valid.
  * - Startup election: if every member's process has restarted, no lease can
- *   still be valid and the replicas elect at once (rp_replica_start.c).
+ *   still be valid and the replicas elect at once (rp_replica_startup.c).
  * - Members change one at a time, and a new member is a learner before it is
  *   a voter.
  * - A replica that lost its disk has a new id and joins again as a new
@@ -35,31 +35,31 @@
 #include "rp_msg.h"
 #include "rp_time.h"
 
-#define RP_REPLICA_MAX 15 /* members of a group, learners included */
-#define RP_HEARTBEAT_US (100 * RP_US_PER_MS)
+#define RP_REPLICA_MEMBERS_MAX 15 /* members of a group, learners included */
+#define RP_HEARTBEAT_INTERVAL_US (100 * RP_US_PER_MS)
 /* A follower that hears nothing from a leader starts a pre-vote after one to
  * two times this long, at random. Five heartbeats are missed by then, so a
  * pause of a few hundred milliseconds (a slow disk, an exhausted CPU quota)
  * does not depose a leader. After a power loss this is most of the time that
  * callers wait. */
-#define RP_ELECTION_US (500 * RP_US_PER_MS)
+#define RP_ELECTION_TIMEOUT_US (500 * RP_US_PER_MS)
 /* How long a leader's lease lasts after it sent the last round that a
- * majority answered. Shorter than RP_ELECTION_US by the margin for clocks
- * that run at different speeds. */
+ * majority answered. Shorter than RP_ELECTION_TIMEOUT_US by the margin for
+ * clocks that run at different speeds. */
 #define RP_LEASE_US (400 * RP_US_PER_MS)
 /* A replica that has heard from no leader for this long asks to join again. */
-#define RP_REJOIN_US (10 * RP_ELECTION_US)
+#define RP_REJOIN_TIMEOUT_US (10 * RP_ELECTION_TIMEOUT_US)
 /* A voter that has not answered for this long is removed once a learner has
  * caught up to replace it: a machine that was replaced never comes back,
  * and until its member is removed the group tolerates one failure less. Half
  * of the four seconds within which users expect a replacement to catch up. */
-#define RP_REPLACE_US (2 * RP_US_PER_SECOND)
+#define RP_VOTER_REPLACE_TIMEOUT_US (2 * RP_US_PER_SECOND)
 #define RP_APPEND_MAX_ENTRIES 64
-#define RP_SNAPSHOT_CHUNK (256u << 10) /* bytes */
+#define RP_SNAPSHOT_CHUNK_BYTES (256u << 10) /* bytes */
 
 enum rp_replica_role {
     RP_REPLICA_FOLLOWER,
-    RP_REPLICA_TRIAL, /* runs a pre-vote */
+    RP_REPLICA_PRE_CANDIDATE, /* runs a pre-vote */
     RP_REPLICA_CANDIDATE,
     RP_REPLICA_LEADER
 };
@@ -158,8 +158,9 @@
  * one change of the members for it; the requester repeats the request until it
  * is a member. Any other replica forwards the request to the leader, which the
  * requester may not know, unless it was `forwarded` already. */
-void RpReplica_Join(struct rp_replica *replica, int64_t now,
-                    const struct rp_replica_member *member, bool forwarded);
+void RpReplica_HandleJoin(struct rp_replica *replica, int64_t now,
+                          const struct rp_replica_member *member,
+                          bool forwarded);
 
 /* Replaces the log up to the last applied entry by a snapshot of `data`, the
  * state after that entry. Adds no action: the caller must store
@@ -183,12 +184,12 @@
 const char *RpReplica_RoleName(const struct rp_replica *replica);
 uint64_t RpReplica_Term(const struct rp_replica *replica);
 /* Returns the index of the last entry known to be committed. */
-uint64_t RpReplica_Committed(const struct rp_replica *replica);
+uint64_t RpReplica_CommitIndex(const struct rp_replica *replica);
 uint64_t RpReplica_LastIndex(const struct rp_replica *replica);
 
 /* Whether this replica should send join requests: it is not a member as far
- * as it knows, or it has heard from no leader for RP_REJOIN_US, so the entry
- * that made it a member may have been lost. */
+ * as it knows, or it has heard from no leader for RP_REJOIN_TIMEOUT_US, so the
+ * entry that made it a member may have been lost. */
 bool RpReplica_WantsToJoin(const struct rp_replica *replica, int64_t now);
 
 /* The members (struct rp_replica_member) of the newest list in the log,
--- a/lib/state/rp_replica_follow.c
+++ b/lib/state/rp_replica_follow.c
@@ -17,7 +17,7 @@
     RpReplica_BecomeFollower(replica, now, term, leader);
     replica->last_leader_contact = now;
     replica->no_leader_since_start = false;
-    RpReplica_ResetElection(replica, now);
+    RpReplica_ResetElectionTimer(replica, now);
     return true;
 }
 
@@ -33,7 +33,7 @@
                                           .accepted = accepted,
                                           .match = match}};
 
-    RpReplica_SendTo(replica, append->from, &msg);
+    RpReplica_QueueMessage(replica, append->from, &msg);
 }
 
 /* Stores one entry of the leader. An entry of another term at its index is
@@ -44,16 +44,16 @@
 {
     uint64_t term;
 
-    if (RpLog_TermAt(replica, entry->index, &term)) {
+    if (RpReplicaLog_TermAt(replica, entry->index, &term)) {
         if (term == entry->term) {
             return;
         }
-        RpReplica_Act(replica, RP_REPLICA_STORE_TRUNCATE)->index =
+        RpReplica_AddAction(replica, RP_REPLICA_STORE_TRUNCATE)->index =
             entry->index;
-        RpLog_Truncate(replica, entry->index);
+        RpReplicaLog_Truncate(replica, entry->index);
     }
-    const struct rp_log_entry *added = RpLog_Add(replica, entry);
-    RpReplica_Act(replica, RP_REPLICA_STORE_ENTRY)->entry = added;
+    const struct rp_log_entry *added = RpReplicaLog_Append(replica, entry);
+    RpReplica_AddAction(replica, RP_REPLICA_STORE_ENTRY)->entry = added;
 }
 
 /* Whether the entries have consecutive indexes after the previous index. */
@@ -78,7 +78,7 @@
     uint64_t last = append->previous_index + append->entries->len;
 
     if (!accept_leader(replica, now, append->term, append->from)) {
-        reply_append(replica, append, false, RpLog_LastIndex(replica));
+        reply_append(replica, append, false, RpReplicaLog_LastIndex(replica));
         return;
     }
     if (append->fresh) {
@@ -89,14 +89,15 @@
      * leader's log and need no check. */
     uint64_t snapshot_index = replica->snapshot ? replica->snapshot->index : 0;
     bool log_matches = append->previous_index < snapshot_index ||
-                       (RpLog_TermAt(replica, append->previous_index, &term) &&
+                       (RpReplicaLog_TermAt(replica, append->previous_index,
+                                            &term) &&
                         term == append->previous_term);
     if (!log_matches || !entries_are_consecutive(append)) {
         /* The reply's match index is where the leader retries from: before
          * the entry that does not match. */
         reply_append(
             replica, append, false,
-            MIN(RpLog_LastIndex(replica),
+            MIN(RpReplicaLog_LastIndex(replica),
                 append->previous_index ? append->previous_index - 1 : 0));
         return;
     }
@@ -130,7 +131,7 @@
                                             .index = chunk->index,
                                             .offset = offset}};
 
-    RpReplica_SendTo(replica, chunk->from, &msg);
+    RpReplica_QueueMessage(replica, chunk->from, &msg);
 }
 
 static void
@@ -156,10 +157,10 @@
         return;
     }
     if (snapshot.index > replica->commit_index) {
-        RpLog_SetSnapshot(replica, &snapshot);
+        RpReplicaLog_SetSnapshot(replica, &snapshot);
         replica->commit_index = snapshot.index;
         replica->last_applied = snapshot.index;
-        RpReplica_Act(replica, RP_REPLICA_STORE_SNAPSHOT)->snapshot =
+        RpReplica_AddAction(replica, RP_REPLICA_STORE_SNAPSHOT)->snapshot =
             replica->snapshot;
     }
     RpSchema_Clear(&rp_snapshot_schema, &snapshot);
--- a/lib/state/rp_replica_internal.h
+++ b/lib/state/rp_replica_internal.h
@@ -59,43 +59,47 @@
 /* rp_replica_log.c: the log in memory. */
 /* Index and term of the last entry, or of the snapshot if no entry follows it;
  * 0 if the log is empty. */
-uint64_t RpLog_LastIndex(const struct rp_replica *replica);
-uint64_t RpLog_LastTerm(const struct rp_replica *replica);
+uint64_t RpReplicaLog_LastIndex(const struct rp_replica *replica);
+uint64_t RpReplicaLog_LastTerm(const struct rp_replica *replica);
 /* Sets `*term` to the term of an entry. Returns false if the log does not hold
  * the entry: it was compacted or is not written yet. */
-bool RpLog_TermAt(const struct rp_replica *replica, uint64_t index,
-                  uint64_t *term);
+bool RpReplicaLog_TermAt(const struct rp_replica *replica, uint64_t index,
+                         uint64_t *term);
 /* Returns an entry, which the log owns; NULL if the log does not hold it. */
-const struct rp_log_entry *RpLog_At(const struct rp_replica *replica,
-                                    uint64_t index);
+const struct rp_log_entry *
+RpReplicaLog_EntryAt(const struct rp_replica *replica, uint64_t index);
 /* Appends a copy of `entry`, which has the next index, without a store
  * action. Returns the copy. */
-const struct rp_log_entry *RpLog_Add(struct rp_replica *replica,
-                                     const struct rp_log_entry *entry);
+const struct rp_log_entry *
+RpReplicaLog_Append(struct rp_replica *replica,
+                    const struct rp_log_entry *entry);
 /* Deletes the entries from `index` on, none of which is committed, without a
  * store action. */
-void RpLog_Truncate(struct rp_replica *replica, uint64_t index);
+void RpReplicaLog_Truncate(struct rp_replica *replica, uint64_t index);
 /* Replaces the log up to the snapshot's index by a copy of it. Entries after
  * it stay if the log agrees with the snapshot. */
-void RpLog_SetSnapshot(struct rp_replica *replica,
-                       const struct rp_snapshot *snapshot);
-/* Frees a snapshot that RpLog_CopySnapshot made; NULL is allowed. */
-void RpLog_FreeSnapshot(struct rp_snapshot *snapshot);
-struct rp_snapshot *RpLog_CopySnapshot(const struct rp_snapshot *snapshot);
+void RpReplicaLog_SetSnapshot(struct rp_replica *replica,
+                              const struct rp_snapshot *snapshot);
+/* Frees a snapshot that RpReplicaLog_CopySnapshot made; NULL is allowed. */
+void RpReplicaLog_FreeSnapshot(struct rp_snapshot *snapshot);
+struct rp_snapshot *
+RpReplicaLog_CopySnapshot(const struct rp_snapshot *snapshot);
 /* Returns the members (struct rp_replica_member) as of the entry at `index`,
  * without later changes. Free the list with g_array_free. */
-GArray *RpLog_MembersAt(const struct rp_replica *replica, uint64_t index);
+GArray *RpReplicaLog_MembersAt(const struct rp_replica *replica,
+                               uint64_t index);
 /* Sets the members from the newest entry that lists them, or else from the
  * snapshot. */
-void RpLog_RefreshMembers(struct rp_replica *replica);
+void RpReplicaLog_RefreshMembers(struct rp_replica *replica);
 
 /* rp_replica.c: actions, the term and the role, members and quorum. */
 /* Adds an empty action of this kind, for the caller to fill in. */
-struct rp_replica_action *RpReplica_Act(struct rp_replica *replica,
-                                        enum rp_replica_action_kind kind);
+struct rp_replica_action *
+RpReplica_AddAction(struct rp_replica *replica,
+                    enum rp_replica_action_kind kind);
 /* Adds an action that sends `msg`, and takes over what it owns. */
-void RpReplica_SendTo(struct rp_replica *replica, uint64_t to,
-                      struct rp_msg *msg);
+void RpReplica_QueueMessage(struct rp_replica *replica, uint64_t to,
+                            struct rp_msg *msg);
 /* Becomes a follower of `leader` (0: unknown); a higher `term` becomes the
  * current term, with no vote cast in it. */
 void RpReplica_BecomeFollower(struct rp_replica *replica, int64_t now,
@@ -103,14 +107,14 @@
 /* Adds an action that stores the term and the vote. */
 void RpReplica_StoreVote(struct rp_replica *replica);
 /* Restarts the election timer with a new random timeout. */
-void RpReplica_ResetElection(struct rp_replica *replica, int64_t now);
+void RpReplica_ResetElectionTimer(struct rp_replica *replica, int64_t now);
 /* Adds apply actions for the committed entries that are not applied yet. */
 void RpReplica_ApplyCommitted(struct rp_replica *replica);
 /* Appends a new entry of the current term, with a copy of `data` (NULL:
  * empty), and adds the action that stores it. */
-const struct rp_log_entry *RpReplica_AppendOwn(struct rp_replica *replica,
-                                               enum rp_entry_kind kind,
-                                               const GString *data);
+const struct rp_log_entry *RpReplica_AppendEntry(struct rp_replica *replica,
+                                                 enum rp_entry_kind kind,
+                                                 const GString *data);
 /* These return the member or the peer with this id, or NULL. */
 const struct rp_replica_member *
 RpReplica_FindMember(const struct rp_replica *replica, uint64_t id);
@@ -122,62 +126,62 @@
 /* rp_replica_vote.c: pre-votes and elections. */
 /* Counts the voters that have granted the current vote or pre-vote; this
  * replica grants its own. */
-size_t RpReplica_CountGranted(const struct rp_replica *replica);
+size_t RpReplica_CountVotes(const struct rp_replica *replica);
 /* Forgets the votes granted so far and sends a request to all voters, or to
  * all members for a startup pre-vote. */
-void RpReplica_AskForVotes(struct rp_replica *replica, uint64_t term,
-                           enum rp_vote_kind kind);
+void RpReplica_SendVoteRequests(struct rp_replica *replica, uint64_t term,
+                                enum rp_vote_kind kind);
 /* Becomes a candidate of the next term and votes for itself. */
 void RpReplica_StartElection(struct rp_replica *replica, int64_t now,
                              enum rp_vote_kind kind);
 /* Answers a vote, a pre-vote or a startup pre-vote. */
-void RpReplica_ReplyVote(struct rp_replica *replica,
-                         const struct rp_msg_vote *vote, bool granted);
+void RpReplica_SendVoteReply(struct rp_replica *replica,
+                             const struct rp_msg_vote *vote, bool granted);
 /* Whether the candidate's log is at least as up to date as this replica's. */
-bool RpReplica_IsUpToDate(const struct rp_replica *replica,
-                          const struct rp_msg_vote *vote);
+bool RpReplica_IsCandidateUpToDate(const struct rp_replica *replica,
+                                   const struct rp_msg_vote *vote);
 /* Sends a pre-vote; a majority of grants starts the election. */
-void RpReplica_StartTrial(struct rp_replica *replica, int64_t now);
+void RpReplica_StartPreVote(struct rp_replica *replica, int64_t now);
 /* These handle a message of this kind that is addressed to this replica, here
  * and below. A higher term in a reply makes this replica a follower. */
-void RpReplica_OnVote(struct rp_replica *replica, int64_t now,
-                      const struct rp_msg_vote *vote);
+void RpReplica_OnVoteRequest(struct rp_replica *replica, int64_t now,
+                             const struct rp_msg_vote *vote);
 void RpReplica_OnVoteReply(struct rp_replica *replica, int64_t now,
                            const struct rp_msg_vote_reply *reply);
 
-/* rp_replica_start.c: elections right after a start. */
+/* rp_replica_startup.c: elections right after a start. */
 /* Sends a startup pre-vote if one is due. */
-void RpReplica_StartTick(struct rp_replica *replica, int64_t now);
-void RpReplica_OnStartTrial(struct rp_replica *replica,
-                            const struct rp_msg_vote *vote);
-void RpReplica_OnStartTrialReply(struct rp_replica *replica, int64_t now,
-                                 const struct rp_msg_vote_reply *reply);
+void RpReplica_StartupTick(struct rp_replica *replica, int64_t now);
+void RpReplica_OnStartupPreVote(struct rp_replica *replica,
+                                const struct rp_msg_vote *vote);
+void RpReplica_OnStartupPreVoteReply(struct rp_replica *replica, int64_t now,
+                                     const struct rp_msg_vote_reply *reply);
 /* Records that the process of any other member at the address of `successor`
  * is gone, because another process uses that address now. Starts the election
  * if all members are known to have restarted by that. Does nothing if this
  * replica has had a leader since its start. */
-void RpReplica_NoteSuccessor(struct rp_replica *replica, int64_t now,
-                             const struct rp_replica_member *successor);
+void RpReplica_MarkReplacedMembers(struct rp_replica *replica, int64_t now,
+                                   const struct rp_replica_member *successor);
 
 /* rp_replica_lead.c: the leader's side. */
 /* Becomes the leader of the current term and appends an empty entry, whose
  * commit also commits the entries of earlier terms. */
-void RpReplica_StartLeading(struct rp_replica *replica, int64_t now);
+void RpReplica_BecomeLeader(struct rp_replica *replica, int64_t now);
 /* Removes peers that are no longer members and adds those that are new. */
-void RpReplica_SyncPeers(struct rp_replica *replica, int64_t now);
+void RpReplica_UpdatePeers(struct rp_replica *replica, int64_t now);
 /* Starts a round: sends an append to all peers, or, unless it is a heartbeat,
  * to those without an append in flight. */
-void RpReplica_Broadcast(struct rp_replica *replica, int64_t now,
-                         bool heartbeat);
-/* Steps down if no majority has answered for RP_ELECTION_US; sends heartbeats
- * that are due. */
+void RpReplica_BroadcastAppend(struct rp_replica *replica, int64_t now,
+                               bool heartbeat);
+/* Steps down if no majority has answered for RP_ELECTION_TIMEOUT_US; sends
+ * heartbeats that are due. */
 void RpReplica_LeaderTick(struct rp_replica *replica, int64_t now);
 /* Raises the commit index to the last entry that a majority has stored, if
  * that entry is of the current term, and applies what is committed. */
 void RpReplica_AdvanceCommit(struct rp_replica *replica);
 /* Returns when the newest round that a majority has answered was sent;
  * RP_NEVER if the leader is the only voter. */
-int64_t RpReplica_QuorumContact(const struct rp_replica *replica);
+int64_t RpReplica_LastQuorumContact(const struct rp_replica *replica);
 void RpReplica_OnAppendReply(struct rp_replica *replica, int64_t now,
                              const struct rp_msg_append_reply *reply);
 void RpReplica_OnSnapshotReply(struct rp_replica *replica, int64_t now,
--- a/lib/state/rp_replica_lead.c
+++ b/lib/state/rp_replica_lead.c
@@ -11,7 +11,7 @@
 #define MAX_ROUND_SEND_TIMES 64 /* newest rounds whose send time is kept */
 
 void
-RpReplica_SyncPeers(struct rp_replica *replica, int64_t now)
+RpReplica_UpdatePeers(struct rp_replica *replica, int64_t now)
 {
     for (guint i = replica->peers->len; i-- > 0;) {
         uint64_t id = g_array_index(replica->peers, struct rp_peer, i).id;
@@ -22,10 +22,10 @@
     for (guint i = 0; i < replica->members->len; i++) {
         const struct rp_replica_member *member = &g_array_index(
             replica->members, struct rp_replica_member, i);
-        const struct rp_peer peer = {.id = member->id,
-                                     .next_index = RpLog_LastIndex(replica) +
-                                                   1,
-                                     .last_contact = now};
+        const struct rp_peer peer = {
+            .id = member->id,
+            .next_index = RpReplicaLog_LastIndex(replica) + 1,
+            .last_contact = now};
         if (member->id != replica->id &&
             !RpReplica_FindPeer(replica, member->id)) {
             g_array_append_val(replica->peers, peer);
@@ -34,16 +34,16 @@
 }
 
 void
-RpReplica_StartLeading(struct rp_replica *replica, int64_t now)
+RpReplica_BecomeLeader(struct rp_replica *replica, int64_t now)
 {
     replica->role = RP_REPLICA_LEADER;
     replica->no_leader_since_start = false;
     replica->leader_id = replica->id;
     g_array_set_size(replica->peers, 0);
-    RpReplica_SyncPeers(replica, now);
-    RpReplica_AppendOwn(replica, RP_ENTRY_NOTHING, NULL);
+    RpReplica_UpdatePeers(replica, now);
+    RpReplica_AppendEntry(replica, RP_ENTRY_NOTHING, NULL);
     RpReplica_AdvanceCommit(replica);
-    RpReplica_Broadcast(replica, now, true);
+    RpReplica_BroadcastAppend(replica, now, true);
 }
 
 /* Returns when a round was sent; 0 if that is no longer known or the round
@@ -76,7 +76,7 @@
 {
     const GString *bytes = replica->snapshot_bytes;
     uint64_t offset = MIN(peer->snapshot_offset, bytes->len);
-    uint64_t len = MIN(bytes->len - offset, RP_SNAPSHOT_CHUNK);
+    uint64_t len = MIN(bytes->len - offset, RP_SNAPSHOT_CHUNK_BYTES);
     struct rp_msg msg = {.type = RP_MSG_SNAPSHOT,
                          .snapshot = {.from = replica->id,
                                       .to = peer->id,
@@ -87,7 +87,7 @@
                                       .data = g_string_new_len(
                                           bytes->str + offset, (gssize)len)}};
 
-    RpReplica_SendTo(replica, peer->id, &msg);
+    RpReplica_QueueMessage(replica, peer->id, &msg);
 }
 
 /* Sends the entries from the peer's next index on, or none as a heartbeat;
@@ -107,14 +107,15 @@
                    .entries = RpSchema_NewList(&rp_log_entry_schema)}};
     struct rp_msg_append *append = &msg.append;
 
-    if (!RpLog_TermAt(replica, peer->next_index - 1, &append->previous_term)) {
+    if (!RpReplicaLog_TermAt(replica, peer->next_index - 1,
+                             &append->previous_term)) {
         RpMsg_Clear(&msg);
         send_snapshot_chunk(replica, peer);
         return;
     }
     for (uint64_t i = 0; i < RP_APPEND_MAX_ENTRIES; i++) {
-        const struct rp_log_entry *entry = RpLog_At(replica,
-                                                    peer->next_index + i);
+        const struct rp_log_entry *entry = RpReplicaLog_EntryAt(
+            replica, peer->next_index + i);
         if (!entry) {
             break;
         }
@@ -126,11 +127,12 @@
                                       (gssize)entry->data->len);
     }
     peer->append_in_flight = true;
-    RpReplica_SendTo(replica, peer->id, &msg);
+    RpReplica_QueueMessage(replica, peer->id, &msg);
 }
 
 void
-RpReplica_Broadcast(struct rp_replica *replica, int64_t now, bool heartbeat)
+RpReplica_BroadcastAppend(struct rp_replica *replica, int64_t now,
+                          bool heartbeat)
 {
     begin_round(replica, now);
     replica->lease_is_valid = RpReplica_IsFresh(replica, now);
@@ -141,7 +143,7 @@
             send_append(replica, peer);
         }
     }
-    replica->heartbeat_deadline = now + RP_HEARTBEAT_US;
+    replica->heartbeat_deadline = now + RP_HEARTBEAT_INTERVAL_US;
 }
 
 static int
@@ -154,9 +156,9 @@
 }
 
 int64_t
-RpReplica_QuorumContact(const struct rp_replica *replica)
+RpReplica_LastQuorumContact(const struct rp_replica *replica)
 {
-    int64_t times[RP_REPLICA_MAX];
+    int64_t times[RP_REPLICA_MEMBERS_MAX];
     size_t count = 0;
     size_t other_votes_needed = RpReplica_Quorum(replica) -
                                 RpReplica_IsVoter(replica, replica->id);
@@ -181,13 +183,13 @@
 void
 RpReplica_LeaderTick(struct rp_replica *replica, int64_t now)
 {
-    if (RpReplica_QuorumContact(replica) <= now - RP_ELECTION_US) {
+    if (RpReplica_LastQuorumContact(replica) <= now - RP_ELECTION_TIMEOUT_US) {
         RpReplica_BecomeFollower(replica, now, replica->term, 0);
         return;
     }
     if (now >= replica->heartbeat_deadline) {
         RpReplica_PromoteLearner(replica, now);
-        RpReplica_Broadcast(replica, now, true);
+        RpReplica_BroadcastAppend(replica, now, true);
     }
 }
 
@@ -210,7 +212,7 @@
 RpReplica_AdvanceCommit(struct rp_replica *replica)
 {
     uint64_t term = 0;
-    uint64_t index = RpLog_LastIndex(replica);
+    uint64_t index = RpReplicaLog_LastIndex(replica);
 
     /* A majority that stores an entry of an earlier term does not commit it:
      * a later leader could still overwrite it. Such entries are committed
@@ -220,8 +222,8 @@
                RpReplica_Quorum(replica)) {
         index--;
     }
-    if (index > replica->commit_index && RpLog_TermAt(replica, index, &term) &&
-        term == replica->term) {
+    if (index > replica->commit_index &&
+        RpReplicaLog_TermAt(replica, index, &term) && term == replica->term) {
         replica->commit_index = index;
         RpReplica_ApplyCommitted(replica);
     }
@@ -263,10 +265,10 @@
     if (replica->lease_is_valid && !lease_was_valid) {
         /* A follower sends no node its first table until it knows that the
          * leader's lease is valid, so tell all followers now. */
-        RpReplica_Broadcast(replica, now, true);
+        RpReplica_BroadcastAppend(replica, now, true);
         return;
     }
-    if (peer->next_index <= RpLog_LastIndex(replica)) {
+    if (peer->next_index <= RpReplicaLog_LastIndex(replica)) {
         send_append(replica, peer);
     }
 }
--- a/lib/state/rp_replica_log.c
+++ b/lib/state/rp_replica_log.c
@@ -10,35 +10,36 @@
 }
 
 uint64_t
-RpLog_LastIndex(const struct rp_replica *replica)
+RpReplicaLog_LastIndex(const struct rp_replica *replica)
 {
     return snapshot_index(replica) + replica->log->len;
 }
 
 uint64_t
-RpLog_LastTerm(const struct rp_replica *replica)
+RpReplicaLog_LastTerm(const struct rp_replica *replica)
 {
     uint64_t term = 0;
 
-    RpLog_TermAt(replica, RpLog_LastIndex(replica), &term);
+    RpReplicaLog_TermAt(replica, RpReplicaLog_LastIndex(replica), &term);
     return term;
 }
 
 const struct rp_log_entry *
-RpLog_At(const struct rp_replica *replica, uint64_t index)
+RpReplicaLog_EntryAt(const struct rp_replica *replica, uint64_t index)
 {
     uint64_t first = snapshot_index(replica) + 1;
 
-    if (index < first || index > RpLog_LastIndex(replica)) {
+    if (index < first || index > RpReplicaLog_LastIndex(replica)) {
         return NULL;
     }
     return g_ptr_array_index(replica->log, index - first);
 }
 
 bool
-RpLog_TermAt(const struct rp_replica *replica, uint64_t index, uint64_t *term)
+RpReplicaLog_TermAt(const struct rp_replica *replica, uint64_t index,
+                    uint64_t *term)
 {
-    const struct rp_log_entry *entry = RpLog_At(replica, index);
+    const struct rp_log_entry *entry = RpReplicaLog_EntryAt(replica, index);
 
     if (entry) {
         *term = entry->term;
@@ -52,33 +53,34 @@
 }
 
 const struct rp_log_entry *
-RpLog_Add(struct rp_replica *replica, const struct rp_log_entry *entry)
+RpReplicaLog_Append(struct rp_replica *replica,
+                    const struct rp_log_entry *entry)
 {
     struct rp_log_entry *copy = g_memdup2(entry, sizeof *entry);
 
-    assert(entry->index == RpLog_LastIndex(replica) + 1);
+    assert(entry->index == RpReplicaLog_LastIndex(replica) + 1);
     copy->data = g_string_new_len(entry->data->str, (gssize)entry->data->len);
     g_ptr_array_add(replica->log, copy);
     if (entry->kind == RP_ENTRY_MEMBERS) {
-        RpLog_RefreshMembers(replica);
+        RpReplicaLog_RefreshMembers(replica);
     }
     return copy;
 }
 
 void
-RpLog_Truncate(struct rp_replica *replica, uint64_t index)
+RpReplicaLog_Truncate(struct rp_replica *replica, uint64_t index)
 {
     uint64_t first = snapshot_index(replica) + 1;
 
     assert(index >= first && index > replica->commit_index);
-    if (index <= RpLog_LastIndex(replica)) {
+    if (index <= RpReplicaLog_LastIndex(replica)) {
         g_ptr_array_set_size(replica->log, (gint)(index - first));
-        RpLog_RefreshMembers(replica);
+        RpReplicaLog_RefreshMembers(replica);
     }
 }
 
 void
-RpLog_FreeSnapshot(struct rp_snapshot *snapshot)
+RpReplicaLog_FreeSnapshot(struct rp_snapshot *snapshot)
 {
     if (snapshot) {
         RpSchema_Clear(&rp_snapshot_schema, snapshot);
@@ -87,7 +89,7 @@
 }
 
 struct rp_snapshot *
-RpLog_CopySnapshot(const struct rp_snapshot *snapshot)
+RpReplicaLog_CopySnapshot(const struct rp_snapshot *snapshot)
 {
     struct rp_snapshot *copy = g_new0(struct rp_snapshot, 1);
 
@@ -102,12 +104,12 @@
 }
 
 void
-RpLog_SetSnapshot(struct rp_replica *replica,
-                  const struct rp_snapshot *snapshot)
+RpReplicaLog_SetSnapshot(struct rp_replica *replica,
+                         const struct rp_snapshot *snapshot)
 {
     uint64_t first = snapshot_index(replica) + 1;
     uint64_t term = 0;
-    bool agrees = RpLog_TermAt(replica, snapshot->index, &term) &&
+    bool agrees = RpReplicaLog_TermAt(replica, snapshot->index, &term) &&
                   term == snapshot->term;
 
     /* Keep the entries after the snapshot only if the log holds the
@@ -119,14 +121,14 @@
         g_ptr_array_remove_range(replica->log, 0,
                                  (guint)(snapshot->index - first + 1));
     }
-    struct rp_snapshot *copy = RpLog_CopySnapshot(snapshot);
-    RpLog_FreeSnapshot(replica->snapshot);
+    struct rp_snapshot *copy = RpReplicaLog_CopySnapshot(snapshot);
+    RpReplicaLog_FreeSnapshot(replica->snapshot);
     replica->snapshot = copy;
     if (replica->snapshot_bytes) {
         g_string_free(replica->snapshot_bytes, TRUE);
     }
     replica->snapshot_bytes = RpSchema_Encode(&rp_snapshot_schema, copy);
-    RpLog_RefreshMembers(replica);
+    RpReplicaLog_RefreshMembers(replica);
 }
 
 /* Appends the members that an entry lists to `list`. Returns false if the
@@ -146,8 +148,8 @@
     return true;
 }
 
-/* Does what RpLog_MembersAt does; also sets `*source_index` to the index of
- * the entry, or of the snapshot, that lists the members. */
+/* Does what RpReplicaLog_MembersAt does; also sets `*source_index` to the
+ * index of the entry, or of the snapshot, that lists the members. */
 static GArray *
 find_members_at(const struct rp_replica *replica, uint64_t index,
                 uint64_t *source_index)
@@ -156,7 +158,8 @@
 
     for (*source_index = index; *source_index > snapshot_index(replica);
          (*source_index)--) {
-        if (append_entry_members(RpLog_At(replica, *source_index), list)) {
+        if (append_entry_members(RpReplicaLog_EntryAt(replica, *source_index),
+                                 list)) {
             return list;
         }
     }
@@ -168,7 +171,7 @@
 }
 
 GArray *
-RpLog_MembersAt(const struct rp_replica *replica, uint64_t index)
+RpReplicaLog_MembersAt(const struct rp_replica *replica, uint64_t index)
 {
     uint64_t source_index;
 
@@ -176,9 +179,9 @@
 }
 
 void
-RpLog_RefreshMembers(struct rp_replica *replica)
+RpReplicaLog_RefreshMembers(struct rp_replica *replica)
 {
     g_array_free(replica->members, TRUE);
-    replica->members = find_members_at(replica, RpLog_LastIndex(replica),
-                                       &replica->members_index);
+    replica->members = find_members_at(
+        replica, RpReplicaLog_LastIndex(replica), &replica->members_index);
 }
--- a/lib/state/rp_replica_members.c
+++ b/lib/state/rp_replica_members.c
@@ -14,7 +14,7 @@
 
     return replica->role == RP_REPLICA_LEADER &&
            replica->members_index <= replica->commit_index &&
-           RpLog_TermAt(replica, replica->commit_index, &term) &&
+           RpReplicaLog_TermAt(replica, replica->commit_index, &term) &&
            term == replica->term;
 }
 
@@ -26,11 +26,11 @@
     const struct rp_replica_members members = {.list = list};
     GString *data = RpSchema_Encode(&rp_replica_members_schema, &members);
 
-    RpReplica_AppendOwn(replica, RP_ENTRY_MEMBERS, data);
+    RpReplica_AppendEntry(replica, RP_ENTRY_MEMBERS, data);
     g_string_free(data, TRUE);
-    RpReplica_SyncPeers(replica, now);
+    RpReplica_UpdatePeers(replica, now);
     RpReplica_AdvanceCommit(replica);
-    RpReplica_Broadcast(replica, now, false);
+    RpReplica_BroadcastAppend(replica, now, false);
 }
 
 static GArray *
@@ -68,17 +68,17 @@
     struct rp_msg msg = {.type = RP_MSG_JOIN, .join = {.member = *member}};
 
     if (replica->leader_id != 0 && replica->leader_id != replica->id) {
-        RpReplica_SendTo(replica, replica->leader_id, &msg);
+        RpReplica_QueueMessage(replica, replica->leader_id, &msg);
     }
 }
 
 void
-RpReplica_Join(struct rp_replica *replica, int64_t now,
-               const struct rp_replica_member *member, bool forwarded)
+RpReplica_HandleJoin(struct rp_replica *replica, int64_t now,
+                     const struct rp_replica_member *member, bool forwarded)
 {
     if (replica->role != RP_REPLICA_LEADER) {
         if (!forwarded) {
-            RpReplica_NoteSuccessor(replica, now, member);
+            RpReplica_MarkReplacedMembers(replica, now, member);
             forward_join(replica, member);
         }
         return;
@@ -111,7 +111,7 @@
         g_array_remove_index(list, (guint)position);
         propose_members(replica, now, list);
     }
-    else if (list->len < RP_REPLICA_MAX) {
+    else if (list->len < RP_REPLICA_MEMBERS_MAX) {
         struct rp_replica_member learner = *member;
         learner.voter = 0;
         g_array_append_val(list, learner);
@@ -127,7 +127,8 @@
     const struct rp_peer *peer = RpReplica_FindPeer(replica, id);
 
     return peer && peer->match_index > 0 &&
-           peer->match_index + CAUGHT_UP_MAX_LAG >= RpLog_LastIndex(replica);
+           peer->match_index + CAUGHT_UP_MAX_LAG >=
+               RpReplicaLog_LastIndex(replica);
 }
 
 static struct rp_replica_member *
@@ -144,7 +145,7 @@
 }
 
 /* Returns the position of a voter that has answered nothing sent within the
- * last RP_REPLACE_US; -1 if there is none. */
+ * last RP_VOTER_REPLACE_TIMEOUT_US; -1 if there is none. */
 static int
 find_unresponsive_voter(struct rp_replica *replica, int64_t now)
 {
@@ -153,7 +154,7 @@
             replica->members, struct rp_replica_member, i);
         const struct rp_peer *peer = RpReplica_FindPeer(replica, member->id);
         if (member->voter && peer &&
-            peer->last_contact < now - RP_REPLACE_US) {
+            peer->last_contact < now - RP_VOTER_REPLACE_TIMEOUT_US) {
             return (int)i;
         }
     }
--- a/lib/state/rp_replica_start.c
+++ b/lib/state/rp_replica_startup.c
@@ -46,13 +46,13 @@
     if (replica->no_leader_since_start &&
         replica->role == RP_REPLICA_FOLLOWER &&
         RpReplica_IsVoter(replica, replica->id) && all_restarted(replica) &&
-        RpReplica_CountGranted(replica) >= RpReplica_Quorum(replica)) {
+        RpReplica_CountVotes(replica) >= RpReplica_Quorum(replica)) {
         RpReplica_StartElection(replica, now, RP_VOTE_AFTER_START);
     }
 }
 
 void
-RpReplica_StartTick(struct rp_replica *replica, int64_t now)
+RpReplica_StartupTick(struct rp_replica *replica, int64_t now)
 {
     if (!replica->no_leader_since_start ||
         replica->role != RP_REPLICA_FOLLOWER ||
@@ -60,8 +60,9 @@
         return;
     }
     replica->startup_pre_vote_deadline = now + STARTUP_PRE_VOTE_INTERVAL_US;
-    RpReplica_SyncPeers(replica, now);
-    RpReplica_AskForVotes(replica, replica->term + 1, RP_VOTE_START_TRIAL);
+    RpReplica_UpdatePeers(replica, now);
+    RpReplica_SendVoteRequests(replica, replica->term + 1,
+                               RP_VOTE_START_TRIAL);
 }
 
 /* Whether the candidate's log is more up to date than this replica's, or is
@@ -70,27 +71,27 @@
 candidate_has_priority(const struct rp_replica *replica,
                        const struct rp_msg_vote *vote)
 {
-    bool same_log = vote->last_term == RpLog_LastTerm(replica) &&
-                    vote->last_index == RpLog_LastIndex(replica);
+    bool same_log = vote->last_term == RpReplicaLog_LastTerm(replica) &&
+                    vote->last_index == RpReplicaLog_LastIndex(replica);
 
     return same_log ? vote->from < replica->id
-                    : RpReplica_IsUpToDate(replica, vote);
+                    : RpReplica_IsCandidateUpToDate(replica, vote);
 }
 
 void
-RpReplica_OnStartTrial(struct rp_replica *replica,
-                       const struct rp_msg_vote *vote)
+RpReplica_OnStartupPreVote(struct rp_replica *replica,
+                           const struct rp_msg_vote *vote)
 {
-    RpReplica_ReplyVote(replica, vote,
-                        replica->no_leader_since_start &&
-                            vote->term > replica->term &&
-                            (!RpReplica_IsVoter(replica, replica->id) ||
-                             candidate_has_priority(replica, vote)));
+    RpReplica_SendVoteReply(replica, vote,
+                            replica->no_leader_since_start &&
+                                vote->term > replica->term &&
+                                (!RpReplica_IsVoter(replica, replica->id) ||
+                                 candidate_has_priority(replica, vote)));
 }
 
 void
-RpReplica_OnStartTrialReply(struct rp_replica *replica, int64_t now,
-                            const struct rp_msg_vote_reply *reply)
+RpReplica_OnStartupPreVoteReply(struct rp_replica *replica, int64_t now,
+                                const struct rp_msg_vote_reply *reply)
 {
     struct rp_peer *peer = RpReplica_FindPeer(replica, reply->from);
 
@@ -102,13 +103,13 @@
 }
 
 void
-RpReplica_NoteSuccessor(struct rp_replica *replica, int64_t now,
-                        const struct rp_replica_member *successor)
+RpReplica_MarkReplacedMembers(struct rp_replica *replica, int64_t now,
+                              const struct rp_replica_member *successor)
 {
     if (!replica->no_leader_since_start) {
         return;
     }
-    RpReplica_SyncPeers(replica, now);
+    RpReplica_UpdatePeers(replica, now);
     for (guint i = 0; i < replica->peers->len; i++) {
         struct rp_peer *peer = &g_array_index(replica->peers, struct rp_peer,
                                               i);
--- a/lib/state/rp_replica_vote.c
+++ b/lib/state/rp_replica_vote.c
@@ -1,12 +1,12 @@
 /* Elections: a pre-vote, then the election proper. The pre-vote asks the
  * voters whether they would grant a vote in the next term and changes no
  * term, so a replica that cannot win does not depose a working leader.
- * rp_replica_start.c holds the faster election of a group whose members have
+ * rp_replica_startup.c holds the faster election of a group whose members have
  * all just started. */
 #include "rp_replica_internal.h"
 
 size_t
-RpReplica_CountGranted(const struct rp_replica *replica)
+RpReplica_CountVotes(const struct rp_replica *replica)
 {
     size_t granted = RpReplica_IsVoter(replica, replica->id);
 
@@ -19,23 +19,24 @@
 }
 
 void
-RpReplica_AskForVotes(struct rp_replica *replica, uint64_t term,
-                      enum rp_vote_kind kind)
+RpReplica_SendVoteRequests(struct rp_replica *replica, uint64_t term,
+                           enum rp_vote_kind kind)
 {
     for (guint i = 0; i < replica->peers->len; i++) {
         struct rp_peer *peer = &g_array_index(replica->peers, struct rp_peer,
                                               i);
-        struct rp_msg msg = {.type = RP_MSG_VOTE,
-                             .vote = {.from = replica->id,
-                                      .to = peer->id,
-                                      .term = term,
-                                      .kind = (uint8_t)kind,
-                                      .last_index = RpLog_LastIndex(replica),
-                                      .last_term = RpLog_LastTerm(replica)}};
+        struct rp_msg msg = {
+            .type = RP_MSG_VOTE,
+            .vote = {.from = replica->id,
+                     .to = peer->id,
+                     .term = term,
+                     .kind = (uint8_t)kind,
+                     .last_index = RpReplicaLog_LastIndex(replica),
+                     .last_term = RpReplicaLog_LastTerm(replica)}};
         peer->vote_granted = false;
         if (kind == RP_VOTE_START_TRIAL ||
             RpReplica_IsVoter(replica, peer->id)) {
-            RpReplica_SendTo(replica, peer->id, &msg);
+            RpReplica_QueueMessage(replica, peer->id, &msg);
         }
     }
 }
@@ -49,34 +50,34 @@
     replica->term++;
     replica->voted_for = replica->id;
     RpReplica_StoreVote(replica);
-    RpReplica_AskForVotes(replica, replica->term, kind);
-    if (RpReplica_CountGranted(replica) >= RpReplica_Quorum(replica)) {
-        RpReplica_StartLeading(replica, now);
+    RpReplica_SendVoteRequests(replica, replica->term, kind);
+    if (RpReplica_CountVotes(replica) >= RpReplica_Quorum(replica)) {
+        RpReplica_BecomeLeader(replica, now);
     }
 }
 
 void
-RpReplica_StartTrial(struct rp_replica *replica, int64_t now)
+RpReplica_StartPreVote(struct rp_replica *replica, int64_t now)
 {
-    replica->role = RP_REPLICA_TRIAL;
+    replica->role = RP_REPLICA_PRE_CANDIDATE;
     replica->leader_id = 0;
-    RpReplica_ResetElection(replica, now);
-    RpReplica_SyncPeers(replica, now);
-    RpReplica_AskForVotes(replica, replica->term + 1, RP_VOTE_TRIAL);
-    if (RpReplica_CountGranted(replica) >= RpReplica_Quorum(replica)) {
+    RpReplica_ResetElectionTimer(replica, now);
+    RpReplica_UpdatePeers(replica, now);
+    RpReplica_SendVoteRequests(replica, replica->term + 1, RP_VOTE_TRIAL);
+    if (RpReplica_CountVotes(replica) >= RpReplica_Quorum(replica)) {
         RpReplica_StartElection(replica, now, RP_VOTE_REAL);
     }
 }
 
 bool
-RpReplica_IsUpToDate(const struct rp_replica *replica,
-                     const struct rp_msg_vote *vote)
+RpReplica_IsCandidateUpToDate(const struct rp_replica *replica,
+                              const struct rp_msg_vote *vote)
 {
-    uint64_t last_term = RpLog_LastTerm(replica);
+    uint64_t last_term = RpReplicaLog_LastTerm(replica);
 
     return vote->last_term > last_term ||
            (vote->last_term == last_term &&
-            vote->last_index >= RpLog_LastIndex(replica));
+            vote->last_index >= RpReplicaLog_LastIndex(replica));
 }
 
 /* Whether this replica has evidence of a working leader within the last
@@ -85,14 +86,15 @@
 has_live_leader(const struct rp_replica *replica, int64_t now)
 {
     if (replica->role == RP_REPLICA_LEADER) {
-        return RpReplica_QuorumContact(replica) > now - RP_ELECTION_US;
+        return RpReplica_LastQuorumContact(replica) >
+               now - RP_ELECTION_TIMEOUT_US;
     }
-    return now - replica->last_leader_contact < RP_ELECTION_US;
+    return now - replica->last_leader_contact < RP_ELECTION_TIMEOUT_US;
 }
 
 void
-RpReplica_ReplyVote(struct rp_replica *replica, const struct rp_msg_vote *vote,
-                    bool granted)
+RpReplica_SendVoteReply(struct rp_replica *replica,
+                        const struct rp_msg_vote *vote, bool granted)
 {
     struct rp_msg reply = {
         .type = RP_MSG_VOTE_REPLY,
@@ -102,7 +104,7 @@
                        .kind = vote->kind,
                        .granted = granted}};
 
-    RpReplica_SendTo(replica, vote->from, &reply);
+    RpReplica_QueueMessage(replica, vote->from, &reply);
 }
 
 /* Grants or refuses a pre-vote. This changes neither the term nor the stored
@@ -111,10 +113,10 @@
 handle_pre_vote(struct rp_replica *replica, int64_t now,
                 const struct rp_msg_vote *vote)
 {
-    RpReplica_ReplyVote(replica, vote,
-                        !has_live_leader(replica, now) &&
-                            vote->term > replica->term &&
-                            RpReplica_IsUpToDate(replica, vote));
+    RpReplica_SendVoteReply(replica, vote,
+                            !has_live_leader(replica, now) &&
+                                vote->term > replica->term &&
+                                RpReplica_IsCandidateUpToDate(replica, vote));
 }
 
 /* Grants or refuses a vote that counts; stores the vote before the reply. */
@@ -136,22 +138,22 @@
     }
     if (may_vote && vote->term == replica->term &&
         (replica->voted_for == 0 || replica->voted_for == vote->from) &&
-        RpReplica_IsUpToDate(replica, vote)) {
+        RpReplica_IsCandidateUpToDate(replica, vote)) {
         granted = true;
         replica->voted_for = vote->from;
         RpReplica_StoreVote(replica);
-        RpReplica_ResetElection(replica, now);
+        RpReplica_ResetElectionTimer(replica, now);
     }
-    RpReplica_ReplyVote(replica, vote, granted);
+    RpReplica_SendVoteReply(replica, vote, granted);
 }
 
 void
-RpReplica_OnVote(struct rp_replica *replica, int64_t now,
-                 const struct rp_msg_vote *vote)
+RpReplica_OnVoteRequest(struct rp_replica *replica, int64_t now,
+                        const struct rp_msg_vote *vote)
 {
     switch ((enum rp_vote_kind)vote->kind) {
     case RP_VOTE_START_TRIAL:
-        RpReplica_OnStartTrial(replica, vote);
+        RpReplica_OnStartupPreVote(replica, vote);
         break;
     case RP_VOTE_TRIAL:
         handle_pre_vote(replica, now, vote);
@@ -169,12 +171,12 @@
                       struct rp_peer *peer,
                       const struct rp_msg_vote_reply *reply)
 {
-    if (replica->role != RP_REPLICA_TRIAL ||
+    if (replica->role != RP_REPLICA_PRE_CANDIDATE ||
         reply->term != replica->term + 1) {
         return;
     }
     peer->vote_granted = true;
-    if (RpReplica_CountGranted(replica) >= RpReplica_Quorum(replica)) {
+    if (RpReplica_CountVotes(replica) >= RpReplica_Quorum(replica)) {
         RpReplica_StartElection(replica, now, RP_VOTE_REAL);
     }
 }
@@ -189,8 +191,8 @@
         return;
     }
     peer->vote_granted = true;
-    if (RpReplica_CountGranted(replica) >= RpReplica_Quorum(replica)) {
-        RpReplica_StartLeading(replica, now);
+    if (RpReplica_CountVotes(replica) >= RpReplica_Quorum(replica)) {
+        RpReplica_BecomeLeader(replica, now);
     }
 }
 
@@ -209,7 +211,7 @@
     }
     switch ((enum rp_vote_kind)reply->kind) {
     case RP_VOTE_START_TRIAL:
-        RpReplica_OnStartTrialReply(replica, now, reply);
+        RpReplica_OnStartupPreVoteReply(replica, now, reply);
         break;
     case RP_VOTE_TRIAL:
         handle_pre_vote_reply(replica, now, peer, reply);
--- a/programs/daemon/control.c
+++ b/programs/daemon/control.c
@@ -237,7 +237,8 @@
                 " leader=%s committed=%" G_GUINT64_FORMAT " members=%u",
                 RpReplica_RoleName(replica), control->was_term,
                 leader ? leader->name.data : "none",
-                RpReplica_Committed(replica), RpReplica_Members(replica)->len);
+                RpReplica_CommitIndex(replica),
+                RpReplica_Members(replica)->len);
 }
 
 static gboolean
@@ -289,7 +290,7 @@
         RpCatalog_Revision(get_catalog(control)),
         RpDistribution_LowestConfirmed(control->distribution),
         g_hash_table_size(control->clients), RpReplica_Term(replica),
-        RpReplica_Committed(replica),
+        RpReplica_CommitIndex(replica),
         RpReplica_Role(replica) == RP_REPLICA_LEADER, control->standing.fresh);
 }
 
--- a/programs/daemon/control_nodes.c
+++ b/programs/daemon/control_nodes.c
@@ -338,7 +338,7 @@
     struct rp_msg_replica_info row = {
         .name = control->settings.common.name,
         .term = RpReplica_Term(replica),
-        .committed = RpReplica_Committed(replica)};
+        .committed = RpReplica_CommitIndex(replica)};
 
     RpName_Set(&row.role, RpStr_FromC(RpReplica_RoleName(replica)));
     g_array_append_val(rows, row);
--- a/programs/daemon/control_replica.c
+++ b/programs/daemon/control_replica.c
@@ -520,7 +520,7 @@
                       const struct rp_replica_member *member, bool forwarded)
 {
     if (!self->failed) {
-        RpReplica_Join(self->replica, now, member, forwarded);
+        RpReplica_HandleJoin(self->replica, now, member, forwarded);
         run_actions(self);
     }
 }
--- a/tests/unit/replica_world.c
+++ b/tests/unit/replica_sim.c
@@ -1,5 +1,5 @@
 /* The network, disks, clocks and checks of the simulation. */
-#include "replica_world.h"
+#include "replica_sim.h"
 
 #include <stdlib.h>
 #include <string.h>
@@ -438,9 +438,9 @@
                         i == (instance_index + 2) % sim->instance_count;
         if (i != instance_index && is_known && is_running(sim, i) &&
             !sim->link_is_cut[instance_index][i]) {
-            RpReplica_Join(sim->instances[i].replica,
-                           sim_instance_clock(sim, &sim->instances[i]), &self,
-                           false);
+            RpReplica_HandleJoin(sim->instances[i].replica,
+                                 sim_instance_clock(sim, &sim->instances[i]),
+                                 &self, false);
             sim_carry_out_actions(sim, i);
         }
     }
--- a/tests/unit/replica_world.h
+++ b/tests/unit/replica_sim.h
@@ -12,8 +12,8 @@
  *   same speed);
  * - a read that a majority has confirmed sees every command that was
  *   acknowledged before the read began. */
-#ifndef REPLICA_WORLD_H
-#define REPLICA_WORLD_H
+#ifndef REPLICA_SIM_H
+#define REPLICA_SIM_H
 
 #include <glib.h>
 
--- a/tests/unit/test_budget.c
+++ b/tests/unit/test_budget.c
@@ -23,7 +23,7 @@
 {
     int64_t detect = RP_CONN_SILENCE_US;
     int64_t retry = RP_RECONNECT_PAUSE_MIN_MS * RP_US_PER_MS * 3 / 2;
-    int64_t distribute = RP_HEARTBEAT_US + RP_TABLE_BATCH_US;
+    int64_t distribute = RP_HEARTBEAT_INTERVAL_US + RP_TABLE_BATCH_US;
 
     (void)state;
     assert_true(detect + retry + distribute < IN_FORCE_US);
@@ -40,7 +40,8 @@
     int64_t retry = RP_RECONNECT_PAUSE_MIN_MS * RP_US_PER_MS * 3 / 2;
 
     (void)state;
-    assert_true(disconnect + retry + RP_HEARTBEAT_US + RP_TABLE_BATCH_US <
+    assert_true(disconnect + retry + RP_HEARTBEAT_INTERVAL_US +
+                    RP_TABLE_BATCH_US <
                 IN_FORCE_US);
 }
 
@@ -50,7 +51,8 @@
 test_replica_is_replaced(void **state)
 {
     (void)state;
-    assert_true(2 * RP_ELECTION_US + RP_REPLACE_US + 2 * RP_HEARTBEAT_US <
+    assert_true(2 * RP_ELECTION_TIMEOUT_US + RP_VOTER_REPLACE_TIMEOUT_US +
+                    2 * RP_HEARTBEAT_INTERVAL_US <
                 CATCH_UP_US);
 }
 
@@ -60,11 +62,11 @@
 test_lease(void **state)
 {
     (void)state;
-    assert_true(RP_LEASE_US < RP_ELECTION_US);
-    assert_true(RP_LEASE_US > 2 * RP_HEARTBEAT_US);
+    assert_true(RP_LEASE_US < RP_ELECTION_TIMEOUT_US);
+    assert_true(RP_LEASE_US > 2 * RP_HEARTBEAT_INTERVAL_US);
     /* Nodes stay with a cut-off replica until an election has begun, which
-     * takes at most twice RP_ELECTION_US. */
-    assert_true(RP_SEND_AWAY_MIN_US >= 2 * RP_ELECTION_US);
+     * takes at most twice RP_ELECTION_TIMEOUT_US. */
+    assert_true(RP_SEND_AWAY_MIN_US >= 2 * RP_ELECTION_TIMEOUT_US);
     assert_true(RP_CONN_SILENCE_US > 2 * RP_CONN_PING_US);
 }
 
--- a/tests/unit/test_replica.c
+++ b/tests/unit/test_replica.c
@@ -1,4 +1,4 @@
-/* Property tests of the replicated log in the simulation of replica_world.h.
+/* Property tests of the replicated log in the simulation of replica_sim.h.
  * Besides the checks of each step, every seed checks that no acknowledged
  * command is lost, and that the group commits commands again after the faults
  * end.
@@ -9,7 +9,7 @@
  * RP_SEED=N runs that seed alone; RP_SEEDS=N runs 1 to N. */
 #include <string.h>
 
-#include "replica_world.h"
+#include "replica_sim.h"
 #include "seeds.h"
 
 #define FAULT_STEPS 1500
--- a/tests/unit/test_replica_start.c
+++ b/tests/unit/test_replica_start.c
@@ -3,7 +3,7 @@
  * leader is elected too early while the old leader still runs. */
 #include <string.h>
 
-#include "replica_world.h"
+#include "replica_sim.h"
 #include "seeds.h"
 
 #define SETTLE_STEPS 150 /* until all instances are fresh */
@@ -86,7 +86,8 @@
     /* Nodes that connect to a follower must not have to wait for the next
      * heartbeat. */
     CHECK(sim,
-          first_fresh == 0 || sim->now - first_fresh < RP_HEARTBEAT_US / 2,
+          first_fresh == 0 ||
+              sim->now - first_fresh < RP_HEARTBEAT_INTERVAL_US / 2,
           "followers become fresh too long after the leader");
     return sim->now - last_start;
 }
@@ -172,7 +173,7 @@
             sim.instances[i].down_steps = 1;
         }
     }
-    int64_t end = sim.now + 10 * RP_ELECTION_US;
+    int64_t end = sim.now + 10 * RP_ELECTION_TIMEOUT_US;
     while (sim.now < end) {
         sim_step(&sim);
     }
