--- a/programs/cli/cli.c
+++ b/programs/cli/cli.c
@@ -113,8 +113,8 @@
     static const struct rp_conn_ops ops = {
         .ready = on_ready, .message = on_message, .closed = on_closed};
 
-    struct rp_conn *conn = RpConn_Open(context, to, RP_CONN_CONNECT_US, &ops,
-                                       question);
+    struct rp_conn *conn = RpConn_Open(context, to, RP_CONN_CONNECT_TIMEOUT_US,
+                                       &ops, question);
     guint limit = g_timeout_add(TRY_TIMEOUT_MS, on_try_over, conn);
     g_main_loop_run(question->loop);
     g_source_remove(limit);
--- a/programs/daemon/agent.c
+++ b/programs/daemon/agent.c
@@ -81,7 +81,7 @@
      .max = MAX_SECONDS},
     {.flag = "host-patience-ms",
      .kind = RP_SETTING_UINT,
-     .offset = offsetof(struct agent_settings, patience_ms),
+     .offset = offsetof(struct agent_settings, host_timeout_ms),
      .value = "N",
      .help = "how long to wait for the host to answer a new flow",
      .fallback = "250",
@@ -235,7 +235,7 @@
     while (RpAgent_OnTimer(agent->flows, now, &agent->actions)) {
         run_actions(agent);
     }
-    RpWake_At(agent->wake, RpAgent_NextTimer(agent->flows));
+    RpTimer_RunBy(agent->timer, RpAgent_NextTimer(agent->flows));
 }
 
 static void
@@ -289,7 +289,7 @@
 static enum rp_upstream_state
 choose_announced_state(const struct agent *agent)
 {
-    if (agent->leaving) {
+    if (agent->gone_announced) {
         return RP_UPSTREAM_GONE;
     }
     return agent->draining || agent->host_state != RP_HOST_READY
@@ -386,8 +386,8 @@
 static const struct rp_uplink_ops uplink_ops = {
     .connected = on_connected,
     .table_changed = on_table_changed,
-    .ordered = on_order,
-    .overtaken = on_newer_announcement};
+    .order_received = on_order,
+    .newer_announcement = on_newer_announcement};
 
 /* Handles a stop request, which normally drains the upstream first.
  *
@@ -411,7 +411,7 @@
     if (agent->settings.host_reports.port != 0) {
         agent->drain_deadline = RpClock_Now();
     }
-    RpWake_At(agent->wake, 0);
+    RpTimer_RunBy(agent->timer, 0);
 }
 
 /* Handles SIGUSR2: exits without draining. The host stays up, and the next
@@ -436,14 +436,15 @@
     if (agent->drain_deadline == RP_NEVER) {
         return;
     }
-    if (!agent->leaving && (flows == 0 || now >= agent->drain_deadline)) {
+    if (!agent->gone_announced &&
+        (flows == 0 || now >= agent->drain_deadline)) {
         RpLog_Event(agent->daemon.log, flows ? RP_LOG_WARN : RP_LOG_INFO,
                     "drain_finished", "flows_left=%u", flows);
-        agent->leaving = true;
+        agent->gone_announced = true;
         RpAgentRole_Announce(agent);
         return;
     }
-    if (agent->leaving && RpUplink_Queued(agent->uplink) == 0) {
+    if (agent->gone_announced && RpUplink_Queued(agent->uplink) == 0) {
         RpDaemon_Quit(&agent->daemon, RP_EXIT_OK);
     }
 }
@@ -457,17 +458,17 @@
     int64_t now = RpClock_Now();
 
     RpAgentRole_RunTimers(agent, now);
-    RpAgentHost_Review(agent, now);
+    RpAgentHost_UpdateState(agent, now);
     if (now >= agent->announce_deadline) {
         RpAgentRole_Announce(agent);
     }
     continue_stop(agent, now);
-    RpWake_At(agent->wake, agent->announce_deadline);
+    RpTimer_RunBy(agent->timer, agent->announce_deadline);
     if (RpHost_IsHeard(&agent->host, now)) {
-        RpWake_At(agent->wake, RpHost_SilenceDeadline(&agent->host));
+        RpTimer_RunBy(agent->timer, RpHost_SilenceDeadline(&agent->host));
     }
     if (agent->drain_deadline != RP_NEVER) {
-        RpWake_At(agent->wake, now + STOP_CHECK_US);
+        RpTimer_RunBy(agent->timer, now + STOP_CHECK_US);
     }
 }
 
@@ -534,7 +535,7 @@
     int64_t now = RpClock_Now();
     struct rp_agent_config config = {
         .codec = agent->codec,
-        .patience = agent->settings.patience_ms * RP_US_PER_MS,
+        .patience = agent->settings.host_timeout_ms * RP_US_PER_MS,
         .self = agent->settings.listen,
         .started = now,
         .slots = agent->settings.slots,
@@ -572,7 +573,7 @@
     agent->incarnation = (uint64_t)g_get_real_time();
     agent->drain_deadline = RP_NEVER;
     agent->started_ms = g_get_real_time() / RP_US_PER_MS;
-    agent->wake = RpWake_Create(on_deadline, agent);
+    agent->timer = RpTimer_Create(on_deadline, agent);
     create_flow_engine(agent);
     if (!RpAgentHost_Open(agent)) {
         return false;
@@ -580,7 +581,7 @@
     agent->uplink = RpUplink_Create(&agent->daemon, &agent->settings.controls,
                                     &agent->settings.service, &uplink_ops,
                                     agent);
-    RpWake_At(agent->wake, 0);
+    RpTimer_RunBy(agent->timer, 0);
     g_unix_signal_add(SIGUSR2, on_replace_signal, agent);
     return RpDaemon_OpenAdmin(&agent->daemon, &agent->settings.common,
                               &admin_ops, agent);
@@ -627,11 +628,11 @@
     RpDaemon_WatchSettings(&agent.daemon, &source, on_reload, &agent);
     exit_code = RpDaemon_Run(&agent.daemon);
     RpPlatform_Close(agent.platform);
-    RpWake_Free(agent.wake);
+    RpTimer_Free(agent.timer);
     RpUdp_Close(agent.balancer_side);
     RpUdp_Close(agent.host_side);
     RpUplink_Free(agent.uplink);
     RpAgent_Free(agent.flows);
-    RpDaemon_End(&agent.daemon);
+    RpDaemon_Clear(&agent.daemon);
     return exit_code;
 }
--- a/programs/daemon/agent.h
+++ b/programs/daemon/agent.h
@@ -8,7 +8,7 @@
 #include "rp_platform.h"
 #include "rp_udp.h"
 #include "rp_uplink.h"
-#include "rp_wake.h"
+#include "rp_timer.h"
 
 struct agent_settings {
     struct rp_common_settings common;
@@ -23,7 +23,7 @@
     uint32_t ramp_seconds;
     uint32_t drain_seconds;
     uint32_t control_port;
-    uint32_t patience_ms;
+    uint32_t host_timeout_ms;
     uint32_t report_ms;
     GString *packets;
     struct rp_endpoint host_reports; /* port 0: the host sends no reports */
@@ -38,7 +38,7 @@
     struct rp_chart chart;
     const struct rp_codec *codec;
     struct rp_platform *platform;
-    struct rp_wake *wake;
+    struct rp_timer *timer;
     struct rp_host host; /* state of the host, from its own reports */
     enum rp_host_state host_state;
     int64_t started_ms; /* wall clock, in Unix milliseconds */
@@ -55,7 +55,7 @@
     int64_t announce_deadline;
     int64_t drain_deadline; /* RP_NEVER unless the agent is stopping */
     bool draining;
-    bool leaving; /* has announced that the upstream is gone */
+    bool gone_announced; /* has announced that the upstream is gone */
 };
 
 /* agent.c: RunTimers runs the flow timers that are due and sends their
@@ -70,7 +70,7 @@
 
 /* Updates the host's state from its reports and from the time since the last
  * one. */
-void RpAgentHost_Review(struct agent *agent, int64_t now);
+void RpAgentHost_UpdateState(struct agent *agent, int64_t now);
 
 /* agent_log.c: logs one line for each decision on a flow. Event returns the
  * log event for a decision, or NULL for ordinary forwarding. */
--- a/programs/daemon/agent_host.c
+++ b/programs/daemon/agent_host.c
@@ -24,7 +24,7 @@
 }
 
 void
-RpAgentHost_Review(struct agent *agent, int64_t now)
+RpAgentHost_UpdateState(struct agent *agent, int64_t now)
 {
     const struct rp_host *host = &agent->host;
 
@@ -93,7 +93,7 @@
         on_host_started(agent, now, had_reported);
     }
     RpAgent_SetHostSlots(agent->flows, report->slots);
-    RpAgentHost_Review(agent, now);
+    RpAgentHost_UpdateState(agent, now);
     RpAgentRole_RunTimers(agent, now);
     return RP_OK;
 }
@@ -108,7 +108,7 @@
         RpLog_Event(agent->daemon.log, RP_LOG_WARN, "host_goodbye_foreign",
                     "host=%s", id->data);
     }
-    RpAgentHost_Review(agent, now);
+    RpAgentHost_UpdateState(agent, now);
     return RP_OK;
 }
 
--- a/programs/daemon/balancer.c
+++ b/programs/daemon/balancer.c
@@ -337,6 +337,6 @@
     RpPlatform_Close(balancer.platform);
     RpUdp_Close(balancer.udp);
     RpUplink_Free(balancer.uplink);
-    RpDaemon_End(daemon);
+    RpDaemon_Clear(daemon);
     return exit_code;
 }
--- a/programs/daemon/control.c
+++ b/programs/daemon/control.c
@@ -85,7 +85,7 @@
 
     /* With --create no nodes are served and no distribution exists. */
     if (control->distribution) {
-        RpControl_Applied(user, entry, reply);
+        RpControl_OnApplied(user, entry, reply);
     }
 }
 
@@ -126,7 +126,7 @@
 
     if (RpControlReplica_Propose(control->replica, RpClock_Now(), command,
                                  &index, &term) == RP_OK) {
-        RpControlReplica_CarryOut(control->replica);
+        RpControlReplica_RunActions(control->replica);
     }
     g_string_free(command, TRUE);
 }
@@ -150,7 +150,7 @@
     uint64_t quarantine_revision = RpCatalog_QuarantineRevision(catalog);
     uint64_t own = RpDistribution_LowestConfirmed(control->distribution);
     if (quarantine_revision &&
-        RpControlLinks_Lowest(control->links, now, own) >=
+        RpControlLinks_LowestConfirmed(control->links, now, own) >=
             quarantine_revision) {
         propose_command(control, RpCatalog_EncodeRelease(quarantine_revision));
     }
@@ -162,10 +162,10 @@
 static void
 run_periodic_tasks(struct control *control, int64_t now)
 {
-    if (now < control->next_report) {
+    if (now < control->next_periodic_run) {
         return;
     }
-    control->next_report = now + REPORT_INTERVAL_US;
+    control->next_periodic_run = now + REPORT_INTERVAL_US;
     const struct rp_msg msg = {
         .type = RP_MSG_CONFIRM,
         .confirm = {.revision = RpDistribution_LowestConfirmed(
@@ -193,7 +193,7 @@
                     RpReplica_RoleName(get_replica(control)));
     }
     if (RpStanding_SendsAway(&control->standing, now)) {
-        RpControl_SendNodesAway(control);
+        RpControl_DisconnectNodes(control);
     }
 }
 
@@ -224,18 +224,18 @@
     const struct rp_replica_member *leader = RpReplica_Leader(replica);
     uint64_t leader_id = leader ? leader->id : 0;
 
-    if (RpReplica_Role(replica) == control->was_role &&
-        leader_id == control->was_leader &&
-        RpReplica_Term(replica) == control->was_term) {
+    if (RpReplica_Role(replica) == control->logged_role &&
+        leader_id == control->logged_leader &&
+        RpReplica_Term(replica) == control->logged_term) {
         return;
     }
-    control->was_role = RpReplica_Role(replica);
-    control->was_leader = leader_id;
-    control->was_term = RpReplica_Term(replica);
+    control->logged_role = RpReplica_Role(replica);
+    control->logged_leader = leader_id;
+    control->logged_term = RpReplica_Term(replica);
     RpLog_Event(control->daemon.log, RP_LOG_INFO, "replica_role",
                 "role=%s term=%" G_GUINT64_FORMAT
                 " leader=%s committed=%" G_GUINT64_FORMAT " members=%u",
-                RpReplica_RoleName(replica), control->was_term,
+                RpReplica_RoleName(replica), control->logged_term,
                 leader ? leader->name.data : "none",
                 RpReplica_CommitIndex(replica),
                 RpReplica_Members(replica)->len);
@@ -254,9 +254,9 @@
     expire_leases(control, now);
     run_periodic_tasks(control, now);
     RpDistribution_Flush(control->distribution, now);
-    RpControl_TellMembers(control);
+    RpControl_SendMembersIfChanged(control);
     if (control->editions) {
-        RpControlEditions_Review(control->editions, now);
+        RpControlEditions_AnswerPending(control->editions, now);
     }
     control->daemon.counters.value[RP_COUNT_TABLE_WITHHELD] =
         RpDistribution_Withheld(control->distribution);
@@ -535,6 +535,6 @@
     RpControlEditions_Close(control.editions);
     g_socket_service_stop(control.listener);
     RpControlReplica_Close(control.replica);
-    RpDaemon_End(&control.daemon);
+    RpDaemon_Clear(&control.daemon);
     return exit_code;
 }
--- a/programs/daemon/control.h
+++ b/programs/daemon/control.h
@@ -35,18 +35,18 @@
     struct control_links *links;
     struct control_editions *editions; /* NULL: no HTTP endpoint for the
                                         * operator */
-    uint64_t told_members; /* digest of the replica list that nodes were
-                            * last sent */
+    uint64_t sent_members_digest; /* digest of the replica list that nodes were
+                                   * last sent */
     GSocketService *listener;
     GHashTable *clients; /* connection number -> struct client */
     GHashTable *pending; /* log index -> struct pending_change */
     int64_t changed_at;  /* when the newest change was applied; 0: none */
     struct rp_standing standing;
     /* Role, leader and term in the last "replica_role" log line. */
-    enum rp_replica_role was_role;
-    uint64_t was_leader; /* replica id; 0: none known */
-    uint64_t was_term;
-    int64_t next_report; /* when to run the periodic tasks again */
+    enum rp_replica_role logged_role;
+    uint64_t logged_leader; /* replica id; 0: none known */
+    uint64_t logged_term;
+    int64_t next_periodic_run; /* when to run the periodic tasks again */
 };
 
 /* control_nodes.c: accepts connections of nodes, operators and other
@@ -61,25 +61,25 @@
 
 /* Handles an applied command: sends changes to the nodes, and replies to the
  * operator that waits for the command. */
-void RpControl_Applied(void *user, const struct rp_log_entry *entry,
-                       const struct rp_msg_change_reply *reply);
+void RpControl_OnApplied(void *user, const struct rp_log_entry *entry,
+                         const struct rp_msg_change_reply *reply);
 
 /* Closes the connections of all nodes, so that they connect to another
  * replica. */
-void RpControl_SendNodesAway(struct control *control);
+void RpControl_DisconnectNodes(struct control *control);
 
 /* Merges an announcement into the registry. If it changes a table, updates the
  * affected nodes and, when it comes from an agent, forwards it to the other
  * replicas. `via` is the replica that forwarded it, or NULL if it comes from
  * an agent connected here. */
 enum rp_registry_change
-RpControl_Announce(struct control *control,
-                   const struct rp_msg_announce *announce,
-                   const struct rp_name *via);
+RpControl_MergeAnnouncement(struct control *control,
+                            const struct rp_msg_announce *announce,
+                            const struct rp_name *via);
 
 /* Sends all nodes the addresses of the replicas, if the members have
  * changed. */
-void RpControl_TellMembers(struct control *control);
+void RpControl_SendMembersIfChanged(struct control *control);
 
 /* control_relay.c: runs a control instance without a disk; returns the
  * process's exit code. */
@@ -94,12 +94,13 @@
 
 /* Answers each pending request that can be answered now or whose deadline has
  * passed. */
-void RpControlEditions_Review(struct control_editions *editions, int64_t now);
+void RpControlEditions_AnswerPending(struct control_editions *editions,
+                                     int64_t now);
 
 /* Handles an applied edition: answers the request that proposed it. */
-void RpControlEditions_Applied(struct control_editions *editions,
-                               const struct rp_log_entry *entry,
-                               const struct rp_msg_change_reply *reply);
+void RpControlEditions_OnApplied(struct control_editions *editions,
+                                 const struct rp_log_entry *entry,
+                                 const struct rp_msg_change_reply *reply);
 
 /* control_links.c: connections to the other replicas. */
 struct control_links *RpControlLinks_Create(struct control *control);
@@ -113,14 +114,14 @@
                          const struct rp_msg *msg);
 
 /* Records the instance name of the replica with this id. */
-void RpControlLinks_Heard(struct control_links *links, uint64_t id,
-                          const struct rp_name *name);
+void RpControlLinks_SetReplicaName(struct control_links *links, uint64_t id,
+                                   const struct rp_name *name);
 
 /* Handles an incoming connection from a replica at this address. An own
  * attempt to connect to it that began while its machine was down is restarted
  * at once. */
-void RpControlLinks_PeerCalled(struct control_links *links, int64_t now,
-                               uint32_t ip);
+void RpControlLinks_OnPeerConnected(struct control_links *links, int64_t now,
+                                    uint32_t ip);
 
 /* Sends to every connected replica. */
 void RpControlLinks_SendAll(struct control_links *links,
@@ -128,12 +129,13 @@
 
 /* Records the lowest revision that all nodes of another replica have
  * confirmed. */
-void RpControlLinks_Report(struct control_links *links, int64_t now,
-                           const struct rp_name *name, uint64_t revision);
+void RpControlLinks_SetConfirmed(struct control_links *links, int64_t now,
+                                 const struct rp_name *name,
+                                 uint64_t revision);
 
 /* Returns the minimum of `own` and the revisions that replicas have reported
  * within the last 5 s. */
-uint64_t RpControlLinks_Lowest(const struct control_links *links, int64_t now,
-                               uint64_t own);
+uint64_t RpControlLinks_LowestConfirmed(const struct control_links *links,
+                                        int64_t now, uint64_t own);
 
 #endif
--- a/programs/daemon/control_editions.c
+++ b/programs/daemon/control_editions.c
@@ -102,7 +102,7 @@
         control->replica, RpClock_Now(), command, &index, &term);
     if (code == RP_OK) {
         add_pending(editions, request)->index = index;
-        RpControlReplica_CarryOut(control->replica);
+        RpControlReplica_RunActions(control->replica);
     }
     else {
         redirect_to_leader(editions, request);
@@ -122,8 +122,8 @@
         return;
     }
     add_pending(editions, request)->round = round;
-    RpControlReplica_CarryOut(control->replica);
-    RpControlEditions_Review(editions, RpClock_Now());
+    RpControlReplica_RunActions(control->replica);
+    RpControlEditions_AnswerPending(editions, RpClock_Now());
 }
 
 static void
@@ -178,7 +178,7 @@
 }
 
 void
-RpControlEditions_Review(struct control_editions *editions, int64_t now)
+RpControlEditions_AnswerPending(struct control_editions *editions, int64_t now)
 {
     GList *link = editions->pending.head;
 
@@ -193,9 +193,9 @@
 }
 
 void
-RpControlEditions_Applied(struct control_editions *editions,
-                          const struct rp_log_entry *entry,
-                          const struct rp_msg_change_reply *reply)
+RpControlEditions_OnApplied(struct control_editions *editions,
+                            const struct rp_log_entry *entry,
+                            const struct rp_msg_change_reply *reply)
 {
     for (GList *link = editions->pending.head; link; link = link->next) {
         struct pending_request *waiting = link->data;
--- a/programs/daemon/control_links.c
+++ b/programs/daemon/control_links.c
@@ -165,8 +165,8 @@
 }
 
 void
-RpControlLinks_PeerCalled(struct control_links *links, int64_t now,
-                          uint32_t ip)
+RpControlLinks_OnPeerConnected(struct control_links *links, int64_t now,
+                               uint32_t ip)
 {
     for (guint i = 0; i < links->list->len; i++) {
         struct link *link = g_ptr_array_index(links->list, i);
@@ -189,8 +189,8 @@
 
     if (!link->conn && now >= link->retry_deadline) {
         link->conn = RpConn_Open(&link->links->control->daemon.context,
-                                 link->address, RP_CONN_CONNECT_US, &ops,
-                                 link);
+                                 link->address, RP_CONN_CONNECT_TIMEOUT_US,
+                                 &ops, link);
         link->attempt_started = now;
     }
 }
@@ -266,8 +266,8 @@
 }
 
 void
-RpControlLinks_Heard(struct control_links *links, uint64_t id,
-                     const struct rp_name *name)
+RpControlLinks_SetReplicaName(struct control_links *links, uint64_t id,
+                              const struct rp_name *name)
 {
     g_hash_table_replace(links->names, g_memdup2(&id, sizeof id),
                          g_memdup2(name, sizeof *name));
@@ -324,8 +324,8 @@
 }
 
 void
-RpControlLinks_Report(struct control_links *links, int64_t now,
-                      const struct rp_name *name, uint64_t revision)
+RpControlLinks_SetConfirmed(struct control_links *links, int64_t now,
+                            const struct rp_name *name, uint64_t revision)
 {
     struct report *report = g_new0(struct report, 1);
 
@@ -335,8 +335,8 @@
 }
 
 uint64_t
-RpControlLinks_Lowest(const struct control_links *links, int64_t now,
-                      uint64_t own)
+RpControlLinks_LowestConfirmed(const struct control_links *links, int64_t now,
+                               uint64_t own)
 {
     GHashTableIter iter;
     gpointer value;
--- a/programs/daemon/control_nodes.c
+++ b/programs/daemon/control_nodes.c
@@ -51,7 +51,7 @@
 }
 
 void
-RpControl_SendNodesAway(struct control *control)
+RpControl_DisconnectNodes(struct control *control)
 {
     GArray *list = RpDistribution_Connections(control->distribution);
 
@@ -131,13 +131,13 @@
                                     control->changed_at);
     }
     if (control->editions) {
-        RpControlEditions_Applied(control->editions, entry, reply);
+        RpControlEditions_OnApplied(control->editions, entry, reply);
     }
 }
 
 void
-RpControl_Applied(void *user, const struct rp_log_entry *entry,
-                  const struct rp_msg_change_reply *reply)
+RpControl_OnApplied(void *user, const struct rp_log_entry *entry,
+                    const struct rp_msg_change_reply *reply)
 {
     struct control *control = user;
     const struct pending_change *pending = g_hash_table_lookup(
@@ -194,7 +194,7 @@
     if (code == RP_OK) {
         g_hash_table_replace(control->pending, g_memdup2(&index, sizeof index),
                              pending);
-        RpControlReplica_CarryOut(control->replica);
+        RpControlReplica_RunActions(control->replica);
     }
     else {
         g_free(pending);
@@ -204,9 +204,9 @@
 }
 
 enum rp_registry_change
-RpControl_Announce(struct control *control,
-                   const struct rp_msg_announce *announce,
-                   const struct rp_name *via)
+RpControl_MergeAnnouncement(struct control *control,
+                            const struct rp_msg_announce *announce,
+                            const struct rp_name *via)
 {
     int64_t now = RpClock_Now();
     struct rp_counters *counters = &control->daemon.counters;
@@ -250,7 +250,8 @@
 on_announce(struct control *control, const struct client *client,
             const struct rp_msg_announce *announce)
 {
-    if (RpControl_Announce(control, announce, NULL) != RP_REGISTRY_STALE) {
+    if (RpControl_MergeAnnouncement(control, announce, NULL) !=
+        RP_REGISTRY_STALE) {
         return;
     }
     const struct rp_upstream *known = RpRegistry_Find(control->registry,
@@ -281,7 +282,7 @@
 }
 
 void
-RpControl_TellMembers(struct control *control)
+RpControl_SendMembersIfChanged(struct control *control)
 {
     const GArray *members = RpReplica_Members(get_replica(control));
     uint64_t digest = members->len;
@@ -291,10 +292,10 @@
             members, struct rp_replica_member, i);
         digest = digest * UINT64_C(0x9e3779b97f4a7c15) + member->id;
     }
-    if (digest == control->told_members) {
+    if (digest == control->sent_members_digest) {
         return;
     }
-    control->told_members = digest;
+    control->sent_members_digest = digest;
     GArray *list = RpDistribution_Connections(control->distribution);
     struct rp_msg msg;
     build_controls_msg(control, &msg);
@@ -446,8 +447,8 @@
     int64_t now = RpClock_Now();
 
     if (client->hello.role == RP_ROLE_CONTROL) {
-        RpControlLinks_Report(control->links, now, &client->hello.name,
-                              revision);
+        RpControlLinks_SetConfirmed(control->links, now, &client->hello.name,
+                                    revision);
         RpRegistry_ReplicaSeen(control->registry, now, &client->hello.name);
         return;
     }
@@ -480,7 +481,8 @@
             on_announce(control, client, &msg->announce);
         }
         else {
-            RpControl_Announce(control, &msg->announce, &client->hello.name);
+            RpControl_MergeAnnouncement(control, &msg->announce,
+                                        &client->hello.name);
         }
         break;
     case RP_MSG_SUBSCRIBE:
@@ -495,11 +497,11 @@
             !RpName_Equal(&client->hello.name, &msg->join.member.name));
         break;
     default:
-        RpControlLinks_Heard(control->links, RpReplica_Sender(msg),
-                             &client->hello.name);
+        RpControlLinks_SetReplicaName(control->links, RpReplica_Sender(msg),
+                                      &client->hello.name);
         RpControlReplica_Receive(control->replica, now, msg);
         if (control->editions) {
-            RpControlEditions_Review(control->editions, now);
+            RpControlEditions_AnswerPending(control->editions, now);
         }
     }
 }
@@ -532,8 +534,8 @@
                 "peer=%s role=%s", hello->name.data,
                 RpRole_Name((enum rp_role)hello->role));
     if (hello->role == RP_ROLE_CONTROL) {
-        RpControlLinks_PeerCalled(client->control->links, RpClock_Now(),
-                                  RpConn_PeerIp(conn));
+        RpControlLinks_OnPeerConnected(client->control->links, RpClock_Now(),
+                                       RpConn_PeerIp(conn));
     }
 }
 
--- a/programs/daemon/control_relay.c
+++ b/programs/daemon/control_relay.c
@@ -18,7 +18,8 @@
 static void
 redirect(struct relay *relay, struct rp_platform_request *request)
 {
-    const struct rp_endpoints *controls = RpUplink_Controls(relay->uplink);
+    const struct rp_endpoints *controls = RpUplink_AdvertisedControls(
+        relay->uplink);
 
     if (controls->count == 0) {
         RpCounters_Add(&relay->daemon.counters, RP_COUNT_CHANGE_NO_LEADER);
@@ -155,6 +156,6 @@
     int exit_code = RpDaemon_Run(&relay.daemon);
     RpPlatform_Close(relay.platform);
     RpUplink_Free(relay.uplink);
-    RpDaemon_End(&relay.daemon);
+    RpDaemon_Clear(&relay.daemon);
     return exit_code;
 }
--- a/programs/daemon/control_replica.c
+++ b/programs/daemon/control_replica.c
@@ -538,7 +538,7 @@
 }
 
 void
-RpControlReplica_CarryOut(struct rp_control_replica *self)
+RpControlReplica_RunActions(struct rp_control_replica *self)
 {
     run_actions(self);
 }
--- a/programs/daemon/control_replica.h
+++ b/programs/daemon/control_replica.h
@@ -85,12 +85,12 @@
                            bool forwarded);
 
 /* Leader: appends a command to the log and returns its index and term. The
- * caller records these and then calls RpControlReplica_CarryOut, which stores,
- * sends and possibly applies the entry. Any other replica, and one whose disk
- * has failed, returns RP_ERR_NO_LEADER. */
+ * caller records these and then calls RpControlReplica_RunActions, which
+ * stores, sends and possibly applies the entry. Any other replica, and one
+ * whose disk has failed, returns RP_ERR_NO_LEADER. */
 enum rp_code RpControlReplica_Propose(struct rp_control_replica *self,
                                       int64_t now, const GString *command,
                                       uint64_t *index, uint64_t *term);
-void RpControlReplica_CarryOut(struct rp_control_replica *self);
+void RpControlReplica_RunActions(struct rp_control_replica *self);
 
 #endif
--- a/programs/daemon/rp_daemon.c
+++ b/programs/daemon/rp_daemon.c
@@ -66,11 +66,11 @@
 {
     struct rp_daemon *daemon = data;
 
-    if (daemon->stop_asked) {
+    if (daemon->stop_requested) {
         RpDaemon_Quit(daemon, RP_EXIT_FAILED);
         return G_SOURCE_CONTINUE;
     }
-    daemon->stop_asked = true;
+    daemon->stop_requested = true;
     RpLog_Event(daemon->log, RP_LOG_INFO, "stop_requested", "%s", "");
     daemon->stop(daemon->stop_user);
     return G_SOURCE_CONTINUE;
@@ -166,7 +166,7 @@
     struct rp_error error;
 
     RpError_Init(&error);
-    daemon->file_changed = read_settings_file_mtime(source);
+    daemon->file_mtime = read_settings_file_mtime(source);
     if (RpSettings_Read(source->table, source->count, daemon->role_name, "",
                         source->argc, source->argv, settings,
                         &error) == RP_SETTINGS_READY) {
@@ -193,7 +193,7 @@
 {
     struct rp_daemon *daemon = data;
 
-    if (read_settings_file_mtime(&daemon->source) != daemon->file_changed) {
+    if (read_settings_file_mtime(&daemon->source) != daemon->file_mtime) {
         reload_settings(daemon);
     }
     return G_SOURCE_CONTINUE;
@@ -207,9 +207,9 @@
     daemon->source = *source;
     daemon->reload = reload;
     daemon->reload_user = user;
-    daemon->file_changed = read_settings_file_mtime(source);
+    daemon->file_mtime = read_settings_file_mtime(source);
     g_unix_signal_add(SIGHUP, on_sighup, daemon);
-    if (daemon->file_changed) {
+    if (daemon->file_mtime) {
         g_timeout_add_seconds(WATCH_INTERVAL_SECONDS, on_watch_timer, daemon);
     }
 }
@@ -275,7 +275,7 @@
 }
 
 void
-RpDaemon_End(struct rp_daemon *daemon)
+RpDaemon_Clear(struct rp_daemon *daemon)
 {
     RpAdmin_Close(daemon->admin);
     RpLog_Free(daemon->log);
--- a/programs/daemon/rp_daemon.h
+++ b/programs/daemon/rp_daemon.h
@@ -111,13 +111,13 @@
     struct rp_admin *admin;
     RpDaemon_Stop stop;
     void *stop_user;
-    bool stop_asked;
+    bool stop_requested;
     int exit_code;
     struct rp_settings_source source;
     RpDaemon_Reload reload; /* NULL: nothing can change while it runs */
     void *reload_user;
-    int64_t file_changed; /* mtime of the settings file, in microseconds; 0:
-                           * no file */
+    int64_t file_mtime; /* mtime of the settings file, in microseconds; 0:
+                         * no file */
 };
 
 /* Reads the settings into the zeroed struct at `target` and prints every
@@ -129,7 +129,7 @@
 
 /* Prepares the log, keys, main loop and signal handlers; `stop` is called on
  * the first SIGTERM or SIGINT. Returns false after printing the error;
- * `daemon->exit_code` is then set. Free with RpDaemon_End. */
+ * `daemon->exit_code` is then set. Free with RpDaemon_Clear. */
 bool RpDaemon_Start(struct rp_daemon *daemon, enum rp_role role,
                     const struct rp_common_settings *settings,
                     RpDaemon_Stop stop, void *user);
@@ -168,7 +168,7 @@
 void RpDaemon_Quit(struct rp_daemon *daemon, int exit_code);
 
 /* Frees what RpDaemon_Start and RpDaemon_OpenAdmin created. */
-void RpDaemon_End(struct rp_daemon *daemon);
+void RpDaemon_Clear(struct rp_daemon *daemon);
 
 /* Entry points of the roles. Each returns the process's exit code. */
 int RpBalancer_Main(int argc, char **argv);
--- a/programs/daemon/rp_uplink.c
+++ b/programs/daemon/rp_uplink.c
@@ -85,7 +85,7 @@
     RpCounters_Add(counters, RP_COUNT_TABLE_APPLIED);
     /* The pauses are reset only now: without a replica that can serve, each
      * instance accepts the connection and then closes it. */
-    RpReconnect_Served(&uplink->reconnect);
+    RpReconnect_Reset(&uplink->reconnect);
     uplink->ops->table_changed(uplink->user);
     const struct rp_msg confirm = {
         .type = RP_MSG_CONFIRM,
@@ -118,16 +118,16 @@
         apply_table(uplink, &msg->table);
         return;
     }
-    if (msg->type == RP_MSG_ORDER && uplink->ops->ordered) {
-        uplink->ops->ordered(uplink->user, &msg->order);
+    if (msg->type == RP_MSG_ORDER && uplink->ops->order_received) {
+        uplink->ops->order_received(uplink->user, &msg->order);
         return;
     }
     if (msg->type == RP_MSG_CONTROLS) {
         store_advertised(uplink, &msg->controls);
         return;
     }
-    if (msg->type == RP_MSG_ANNOUNCE && uplink->ops->overtaken) {
-        uplink->ops->overtaken(uplink->user, &msg->announce);
+    if (msg->type == RP_MSG_ANNOUNCE && uplink->ops->newer_announcement) {
+        uplink->ops->newer_announcement(uplink->user, &msg->announce);
         return;
     }
     RpCounters_Add(&uplink->daemon->counters, RP_COUNT_FRAME_UNEXPECTED);
@@ -157,7 +157,8 @@
     stop_table_timeout(uplink);
     if (!uplink->freeing) {
         uplink->retry_source = g_timeout_add(
-            RpReconnect_End(&uplink->reconnect, answered, randombytes_uniform),
+            RpReconnect_EndAttempt(&uplink->reconnect, answered,
+                                   randombytes_uniform),
             on_retry, uplink);
     }
 }
@@ -177,7 +178,7 @@
             : uplink->controls.item[index - advertised->count];
 
     uplink->conn = RpConn_Open(&uplink->daemon->context, to,
-                               RpReconnect_Begin(&uplink->reconnect) *
+                               RpReconnect_BeginAttempt(&uplink->reconnect) *
                                    RP_US_PER_MS,
                                &conn_ops, uplink);
 }
@@ -244,7 +245,7 @@
 }
 
 const struct rp_endpoints *
-RpUplink_Controls(const struct rp_uplink *uplink)
+RpUplink_AdvertisedControls(const struct rp_uplink *uplink)
 {
     return &uplink->advertised;
 }
--- a/programs/daemon/rp_uplink.h
+++ b/programs/daemon/rp_uplink.h
@@ -20,11 +20,12 @@
     void (*table_changed)(void *user);
     /* An operator's order arrived. NULL: orders are unexpected and close the
      * connection. */
-    void (*ordered)(void *user, const struct rp_msg_order *order);
+    void (*order_received)(void *user, const struct rp_msg_order *order);
     /* Control sent an announcement of this upstream that is newer than the one
      * it received. NULL: announcements are unexpected and close the
      * connection. */
-    void (*overtaken)(void *user, const struct rp_msg_announce *newer);
+    void (*newer_announcement)(void *user,
+                               const struct rp_msg_announce *newer);
 };
 
 /* Replaces the control instances from the settings, after these have changed.
@@ -52,7 +53,8 @@
 void RpUplink_Send(struct rp_uplink *uplink, const struct rp_msg *msg);
 
 /* The addresses that control has advertised; empty until it has sent them. */
-const struct rp_endpoints *RpUplink_Controls(const struct rp_uplink *uplink);
+const struct rp_endpoints *
+RpUplink_AdvertisedControls(const struct rp_uplink *uplink);
 
 /* The current table; revision 0 until the first one arrives. */
 const struct rp_table *RpUplink_Table(const struct rp_uplink *uplink);
--- a/programs/shared/rp_conn.c
+++ b/programs/shared/rp_conn.c
@@ -169,7 +169,7 @@
 {
     RpSession_Send(conn->session, msg, conn->output);
     RpCounters_Add(conn->context->counters, RP_COUNT_FRAMES_OUT);
-    conn->ping_deadline = RpClock_Now() + RP_CONN_PING_US;
+    conn->ping_deadline = RpClock_Now() + RP_CONN_PING_INTERVAL_US;
     if (conn->output->len + conn->writing->len > RP_CONN_QUEUE_MAX) {
         close_with_reason(conn, RP_COUNT_PEER_TOO_SLOW);
         return;
@@ -305,7 +305,7 @@
         free_if_idle(conn);
         return;
     }
-    conn->silence_deadline = RpClock_Now() + RP_CONN_SILENCE_US;
+    conn->silence_deadline = RpClock_Now() + RP_CONN_SILENCE_TIMEOUT_US;
     RpSession_Receive(conn->session, (struct rp_str){.data = conn->input,
                                                      .len = (size_t)received});
     process_messages(conn);
@@ -360,20 +360,20 @@
     conn->output = g_string_new(NULL);
     conn->writing = g_string_new(NULL);
     conn->input = g_malloc(READ_SIZE);
-    conn->silence_deadline = RpClock_Now() + RP_CONN_SILENCE_US;
+    conn->silence_deadline = RpClock_Now() + RP_CONN_SILENCE_TIMEOUT_US;
     conn->tick_source = g_timeout_add(TICK_MS, on_tick, conn);
     g_queue_init(&conn->unsent);
     return conn;
 }
 
 /* Sets the socket's options. TCP_USER_TIMEOUT closes a connection whose peer
- * acknowledges nothing for RP_CONN_SILENCE_US, since unsent data would
+ * acknowledges nothing for RP_CONN_SILENCE_TIMEOUT_US, since unsent data would
  * otherwise keep it open. */
 static void
 set_socket_options(GSocketConnection *stream)
 {
     GSocket *socket = g_socket_connection_get_socket(stream);
-    int timeout_ms = (int)(RP_CONN_SILENCE_US / RP_US_PER_MS);
+    int timeout_ms = (int)(RP_CONN_SILENCE_TIMEOUT_US / RP_US_PER_MS);
 
     /* A timeout left on the socket from connecting would also apply to
      * reads. */
--- a/programs/shared/rp_conn.h
+++ b/programs/shared/rp_conn.h
@@ -1,10 +1,10 @@
 /* A framed, authenticated TCP connection on the main loop.
  *
  * Carries the session of rp_session.h over GIO. It sends a ping when nothing
- * else was sent for RP_CONN_PING_US and closes when nothing was received for
- * RP_CONN_SILENCE_US, so that a frozen or unreachable peer is detected. It
- * also closes when more than RP_CONN_QUEUE_MAX bytes wait to be received by
- * the peer.
+ * else was sent for RP_CONN_PING_INTERVAL_US and closes when nothing was
+ * received for RP_CONN_SILENCE_TIMEOUT_US, so that a frozen or unreachable
+ * peer is detected. It also closes when more than RP_CONN_QUEUE_MAX bytes wait
+ * to be received by the peer.
  */
 #ifndef RP_CONN_H
 #define RP_CONN_H
@@ -20,14 +20,14 @@
  * node whose control instance has just frozen needs one silence timeout, one
  * pause, one failed attempt to connect and one table for that: see
  * test_budget.c. */
-#define RP_CONN_PING_US (400 * RP_US_PER_MS)
-#define RP_CONN_SILENCE_US (1200 * RP_US_PER_MS)
+#define RP_CONN_PING_INTERVAL_US (400 * RP_US_PER_MS)
+#define RP_CONN_SILENCE_TIMEOUT_US (1200 * RP_US_PER_MS)
 /* Longest wait for the peer's hello during an attempt to connect. A machine
  * without power does not answer, and the kernel repeats the first packet only
  * after a second, so the attempt is given up before. The kernel of a frozen
  * process accepts the connection, but no hello follows. The farthest regions
  * answer within 300 ms. */
-#define RP_CONN_CONNECT_US (400 * RP_US_PER_MS)
+#define RP_CONN_CONNECT_TIMEOUT_US (400 * RP_US_PER_MS)
 /* Bytes that may be queued for a peer. */
 #define RP_CONN_QUEUE_MAX (32u << 20)
 
--- a/programs/shared/rp_reconnect.c
+++ b/programs/shared/rp_reconnect.c
@@ -5,22 +5,22 @@
 
 #include "rp_conn.h"
 
-#define TIMEOUT_MAX_MS ((uint32_t)(RP_CONN_CONNECT_US / RP_US_PER_MS))
+#define TIMEOUT_MAX_MS ((uint32_t)(RP_CONN_CONNECT_TIMEOUT_US / RP_US_PER_MS))
 
 void
 RpReconnect_Init(struct rp_reconnect *reconnect)
 {
     *reconnect = (struct rp_reconnect){
-        .patience_ms = RP_RECONNECT_PATIENCE_MIN_MS,
+        .timeout_ms = RP_RECONNECT_TIMEOUT_MIN_MS,
         .pause_ms = RP_RECONNECT_PAUSE_MIN_MS};
 }
 
 uint32_t
-RpReconnect_Begin(struct rp_reconnect *reconnect)
+RpReconnect_BeginAttempt(struct rp_reconnect *reconnect)
 {
-    uint32_t timeout = reconnect->patience_ms;
+    uint32_t timeout = reconnect->timeout_ms;
 
-    reconnect->patience_ms = MIN(timeout * 2, TIMEOUT_MAX_MS);
+    reconnect->timeout_ms = MIN(timeout * 2, TIMEOUT_MAX_MS);
     return timeout;
 }
 
@@ -34,8 +34,8 @@
 }
 
 uint32_t
-RpReconnect_End(struct rp_reconnect *reconnect, bool answered,
-                uint32_t (*random_below)(uint32_t upper_bound))
+RpReconnect_EndAttempt(struct rp_reconnect *reconnect, bool answered,
+                       uint32_t (*random_below)(uint32_t upper_bound))
 {
     if (!answered) {
         return randomise_pause(RP_RECONNECT_PAUSE_MIN_MS, random_below);
@@ -46,7 +46,7 @@
 }
 
 void
-RpReconnect_Served(struct rp_reconnect *reconnect)
+RpReconnect_Reset(struct rp_reconnect *reconnect)
 {
     RpReconnect_Init(reconnect);
 }
--- a/programs/shared/rp_reconnect.h
+++ b/programs/shared/rp_reconnect.h
@@ -22,29 +22,30 @@
 #define RP_RECONNECT_PAUSE_MAX_MS 800
 /* Timeout of the first attempt: enough for a TCP connection and a hello
  * between nearer regions (two round trips of 30 ms) with a machine that has
- * just started. The longest timeout is RP_CONN_CONNECT_US, which the farthest
- * regions need. */
-#define RP_RECONNECT_PATIENCE_MIN_MS 100
+ * just started. The longest timeout is RP_CONN_CONNECT_TIMEOUT_US, which the
+ * farthest regions need. */
+#define RP_RECONNECT_TIMEOUT_MIN_MS 100
 
 struct rp_reconnect {
-    uint32_t patience_ms; /* timeout of the next attempt */
-    uint32_t pause_ms;    /* pause after the next attempt that is answered */
+    uint32_t timeout_ms; /* timeout of the next attempt */
+    uint32_t pause_ms;   /* pause after the next attempt that is answered */
 };
 
 /* Starts with the shortest timeout and pause. */
 void RpReconnect_Init(struct rp_reconnect *reconnect);
 
 /* Returns the timeout of the attempt that begins now, in milliseconds. */
-uint32_t RpReconnect_Begin(struct rp_reconnect *reconnect);
+uint32_t RpReconnect_BeginAttempt(struct rp_reconnect *reconnect);
 
 /* Returns the pause after a failed attempt or an ended connection, in
  * milliseconds. `answered` says whether the instance had sent its hello;
  * `random_below` returns a random number below its argument, as
  * randombytes_uniform does. */
-uint32_t RpReconnect_End(struct rp_reconnect *reconnect, bool answered,
-                         uint32_t (*random_below)(uint32_t upper_bound));
+uint32_t
+RpReconnect_EndAttempt(struct rp_reconnect *reconnect, bool answered,
+                       uint32_t (*random_below)(uint32_t upper_bound));
 
 /* Resets timeout and pause to the shortest, after a table has arrived. */
-void RpReconnect_Served(struct rp_reconnect *reconnect);
+void RpReconnect_Reset(struct rp_reconnect *reconnect);
 
 #endif
--- a/programs/shared/rp_wake.h
+++ b/programs/shared/rp_timer.h
@@ -4,23 +4,23 @@
  * earlier than the present one only costs a comparison, so it can be done for
  * every packet.
  */
-#ifndef RP_WAKE_H
-#define RP_WAKE_H
+#ifndef RP_TIMER_H
+#define RP_TIMER_H
 
 #include <glib.h>
 #include <stdint.h>
 
-struct rp_wake;
+struct rp_timer;
 
 /* Creates a timer without a deadline. `run` is called when the deadline has
  * passed; the deadline is then unset, and `run` sets the next one. */
-struct rp_wake *RpWake_Create(void (*run)(void *user), void *user);
+struct rp_timer *RpTimer_Create(void (*run)(void *user), void *user);
 
 /* NULL does nothing. */
-void RpWake_Free(struct rp_wake *wake);
+void RpTimer_Free(struct rp_timer *timer);
 
 /* Moves the deadline to `deadline` if that is earlier than the present one.
  * RP_NEVER thus changes nothing. */
-void RpWake_At(struct rp_wake *wake, int64_t deadline);
+void RpTimer_RunBy(struct rp_timer *timer, int64_t deadline);
 
 #endif
--- a/tests/unit/test_budget.c
+++ b/tests/unit/test_budget.c
@@ -21,13 +21,14 @@
 static void
 test_change_reaches_node_of_frozen_replica(void **state)
 {
-    int64_t detect = RP_CONN_SILENCE_US;
+    int64_t detect = RP_CONN_SILENCE_TIMEOUT_US;
     int64_t retry = RP_RECONNECT_PAUSE_MIN_MS * RP_US_PER_MS * 3 / 2;
     int64_t distribute = RP_HEARTBEAT_INTERVAL_US + RP_TABLE_BATCH_US;
 
     (void)state;
     assert_true(detect + retry + distribute < IN_FORCE_US);
-    assert_true(detect + retry + RP_CONN_CONNECT_US + 2 * retry + distribute <
+    assert_true(detect + retry + RP_CONN_CONNECT_TIMEOUT_US + 2 * retry +
+                    distribute <
                 IN_FORCE_US);
 }
 
@@ -67,7 +68,7 @@
     /* Nodes stay with a cut-off replica until an election has begun, which
      * takes at most twice RP_ELECTION_TIMEOUT_US. */
     assert_true(RP_SEND_AWAY_MIN_US >= 2 * RP_ELECTION_TIMEOUT_US);
-    assert_true(RP_CONN_SILENCE_US > 2 * RP_CONN_PING_US);
+    assert_true(RP_CONN_SILENCE_TIMEOUT_US > 2 * RP_CONN_PING_INTERVAL_US);
 }
 
 /* Returns the highest random number, and thus gives the longest pause. */
@@ -88,8 +89,8 @@
 
     RpReconnect_Init(&reconnect);
     while (now < up_ms) {
-        now += RpReconnect_Begin(&reconnect);
-        now += RpReconnect_End(&reconnect, false, return_highest);
+        now += RpReconnect_BeginAttempt(&reconnect);
+        now += RpReconnect_EndAttempt(&reconnect, false, return_highest);
     }
     return now;
 }
@@ -101,8 +102,9 @@
 test_node_reconnects_after_power_loss(void **state)
 {
     uint32_t pause = RP_RECONNECT_PAUSE_MIN_MS * 3 / 2;
-    uint32_t longest = (uint32_t)(RP_CONN_CONNECT_US / RP_US_PER_MS) + pause;
-    uint32_t longest_at_first = 2 * RP_RECONNECT_PATIENCE_MIN_MS + pause;
+    uint32_t longest = (uint32_t)(RP_CONN_CONNECT_TIMEOUT_US / RP_US_PER_MS) +
+                       pause;
+    uint32_t longest_at_first = 2 * RP_RECONNECT_TIMEOUT_MIN_MS + pause;
 
     (void)state;
     for (uint32_t up_ms = 0; up_ms < 5000; up_ms++) {
@@ -122,11 +124,12 @@
     RpReconnect_Init(&reconnect);
     for (uint32_t pause = RP_RECONNECT_PAUSE_MIN_MS;
          pause < RP_RECONNECT_PAUSE_MAX_MS; pause *= 2) {
-        assert_int_equal(RpReconnect_End(&reconnect, true, return_highest),
-                         pause / 2 + pause);
+        assert_int_equal(
+            RpReconnect_EndAttempt(&reconnect, true, return_highest),
+            pause / 2 + pause);
     }
-    RpReconnect_Served(&reconnect);
-    assert_int_equal(RpReconnect_End(&reconnect, true, return_highest),
+    RpReconnect_Reset(&reconnect);
+    assert_int_equal(RpReconnect_EndAttempt(&reconnect, true, return_highest),
                      RP_RECONNECT_PAUSE_MIN_MS * 3 / 2);
 }
 
--- a/tests/unit/test_control_replica.c
+++ b/tests/unit/test_control_replica.c
@@ -71,7 +71,7 @@
     enum rp_code code = RpControlReplica_Propose(replica, RpClock_Now(),
                                                  command, &index, &term);
     if (code == RP_OK) {
-        RpControlReplica_CarryOut(replica);
+        RpControlReplica_RunActions(replica);
     }
     g_string_free(command, TRUE);
     RpEdition_Clear(&edition);
