--- a/lib/control/rp_catalog.c
+++ b/lib/control/rp_catalog.c
@@ -16,7 +16,7 @@
 static void
 free_entry(gpointer data)
 {
-    struct rp_entry *entry = data;
+    struct rp_catalog_entry *entry = data;
 
     g_string_free(entry->text, TRUE);
     g_free(entry);
@@ -47,7 +47,7 @@
                                              NULL, free_entry);
     catalog->answers = g_hash_table_new(hash_change_id, equal_change_ids);
     catalog->quarantine = g_array_new(FALSE, TRUE,
-                                      sizeof(struct rp_quarantine));
+                                      sizeof(struct rp_quarantined_address));
     g_queue_init(&catalog->answer_order);
     return catalog;
 }
@@ -143,7 +143,7 @@
     g_queue_push_tail(&catalog->answer_order, copy);
     g_hash_table_replace(catalog->answers, copy->id, copy);
     while (g_queue_get_length(&catalog->answer_order) >
-           RP_CATALOG_CHANGE_MEMORY) {
+           RP_CATALOG_MAX_ANSWERS) {
         struct rp_catalog_answer *oldest = g_queue_pop_head(
             &catalog->answer_order);
         g_hash_table_remove(catalog->answers, oldest->id);
@@ -179,8 +179,8 @@
 }
 
 void
-RpCatalog_ReplyFindings(struct rp_msg_change_reply *reply,
-                        const struct rp_error *error)
+RpCatalog_AppendFindings(struct rp_msg_change_reply *reply,
+                         const struct rp_error *error)
 {
     if (!reply->findings) {
         reply->findings = RpSchema_NewList(&rp_msg_finding_schema);
@@ -211,7 +211,7 @@
 
     g_hash_table_iter_init(&iter, catalog->entries);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        const struct rp_entry *entry = value;
+        const struct rp_catalog_entry *entry = value;
         if (!entry->from_edition &&
             !RpName_Equal(&entry->name, &document->name) &&
             RpEndpoint_Equal(entry->document.address, document->address)) {
@@ -221,8 +221,8 @@
         }
     }
     for (guint i = 0; i < catalog->quarantine->len; i++) {
-        const struct rp_quarantine *row = &g_array_index(
-            catalog->quarantine, struct rp_quarantine, i);
+        const struct rp_quarantined_address *row = &g_array_index(
+            catalog->quarantine, struct rp_quarantined_address, i);
         if (row->address == document->address.ip &&
             row->port == document->address.port &&
             !RpName_Equal(&row->service, &document->name)) {
@@ -239,12 +239,14 @@
 }
 
 static void
-quarantine_address(struct rp_catalog *catalog, const struct rp_entry *entry)
+quarantine_address(struct rp_catalog *catalog,
+                   const struct rp_catalog_entry *entry)
 {
-    const struct rp_quarantine row = {.address = entry->document.address.ip,
-                                      .port = entry->document.address.port,
-                                      .revision = catalog->revision,
-                                      .service = entry->name};
+    const struct rp_quarantined_address row = {
+        .address = entry->document.address.ip,
+        .port = entry->document.address.port,
+        .revision = catalog->revision,
+        .service = entry->name};
 
     g_array_append_val(catalog->quarantine, row);
 }
@@ -255,12 +257,12 @@
 store_document(struct rp_catalog *catalog, const struct rp_document *document,
                const GString *text)
 {
-    struct rp_entry *entry = g_hash_table_lookup(catalog->entries,
-                                                 &document->name);
+    struct rp_catalog_entry *entry = g_hash_table_lookup(catalog->entries,
+                                                         &document->name);
 
     catalog->revision++;
     if (!entry) {
-        entry = g_new0(struct rp_entry, 1);
+        entry = g_new0(struct rp_catalog_entry, 1);
         entry->name = document->name;
         entry->id = catalog->next_id++;
         entry->incarnation = (uint32_t)catalog->revision;
@@ -295,7 +297,8 @@
                            "service %s",
                            document.name.data, change->service.data);
     }
-    const struct rp_entry *entry = RpCatalog_Find(catalog, &document.name);
+    const struct rp_catalog_entry *entry = RpCatalog_Find(catalog,
+                                                          &document.name);
     if (entry && entry->from_edition) {
         return RpError_Add(error, RP_ERR_DOCUMENT, document.name.data,
                            "is defined by edition %" G_GUINT64_FORMAT
@@ -322,7 +325,8 @@
 apply_delete(struct rp_catalog *catalog, const struct rp_msg_change *change,
              struct rp_catalog_answer *answer, struct rp_error *error)
 {
-    const struct rp_entry *entry = RpCatalog_Find(catalog, &change->service);
+    const struct rp_catalog_entry *entry = RpCatalog_Find(catalog,
+                                                          &change->service);
 
     answer->service = change->service;
     if (!entry) {
@@ -375,7 +379,7 @@
         RpCatalog_StoreAnswer(catalog, &answer);
         if (reply) {
             fill_reply(reply, &answer, false);
-            RpCatalog_ReplyFindings(reply, &error);
+            RpCatalog_AppendFindings(reply, &error);
         }
         RpError_Clear(&error);
     }
@@ -395,8 +399,8 @@
     }
     revision = RpBytes_Get64((const uint8_t *)body.data);
     for (guint i = catalog->quarantine->len; i-- > 0;) {
-        const struct rp_quarantine *row = &g_array_index(
-            catalog->quarantine, struct rp_quarantine, i);
+        const struct rp_quarantined_address *row = &g_array_index(
+            catalog->quarantine, struct rp_quarantined_address, i);
         if (row->revision <= revision) {
             g_array_remove_index(catalog->quarantine, i);
         }
@@ -404,14 +408,14 @@
     return RP_OK;
 }
 
-struct rp_entry *
+struct rp_catalog_entry *
 RpCatalog_AddEditionService(struct rp_catalog *catalog,
                             const struct rp_edition_service *service,
                             uint32_t id, uint64_t revision)
 {
-    struct rp_entry *entry = g_new0(struct rp_entry, 1);
+    struct rp_catalog_entry *entry = g_new0(struct rp_catalog_entry, 1);
 
-    RpDocument_InitPlain(&entry->document, &service->name);
+    RpDocument_InitDefaults(&entry->document, &service->name);
     entry->document.flows_per_upstream = MAX(service->flows_per_upstream, 1);
     entry->name = service->name;
     entry->id = id;
@@ -452,7 +456,7 @@
         const struct rp_name *name =
             &g_array_index(edition->services, struct rp_edition_service, i)
                  .name;
-        const struct rp_entry *entry = RpCatalog_Find(catalog, name);
+        const struct rp_catalog_entry *entry = RpCatalog_Find(catalog, name);
         if (entry && !entry->from_edition) {
             code = RpError_Add(error, RP_ERR_DOCUMENT, name->data,
                                "is already defined by a document");
@@ -474,8 +478,8 @@
     for (guint i = 0; i < services->len; i++) {
         struct rp_edition_service *service = &g_array_index(
             services, struct rp_edition_service, i);
-        struct rp_entry *entry = g_hash_table_lookup(catalog->entries,
-                                                     &service->name);
+        struct rp_catalog_entry *entry = g_hash_table_lookup(catalog->entries,
+                                                             &service->name);
         g_hash_table_add(listed, &service->name);
         if (!entry) {
             RpCatalog_AddEditionService(catalog, service, catalog->next_id++,
@@ -490,7 +494,7 @@
     }
     g_hash_table_iter_init(&iter, catalog->entries);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        const struct rp_entry *entry = value;
+        const struct rp_catalog_entry *entry = value;
         if (entry->from_edition &&
             !g_hash_table_contains(listed, &entry->name)) {
             g_hash_table_iter_remove(&iter);
@@ -537,7 +541,7 @@
     reply->code = (uint8_t)check_and_apply_edition(catalog, body, reply,
                                                    &error);
     reply->revision = catalog->revision;
-    RpCatalog_ReplyFindings(reply, &error);
+    RpCatalog_AppendFindings(reply, &error);
     RpError_Clear(&error);
     RpSchema_Clear(&rp_msg_change_reply_schema, &unused);
     return RP_OK;
@@ -597,7 +601,7 @@
     return catalog->revision;
 }
 
-const struct rp_entry *
+const struct rp_catalog_entry *
 RpCatalog_Find(const struct rp_catalog *catalog, const struct rp_name *name)
 {
     return g_hash_table_lookup(catalog->entries, name);
@@ -606,8 +610,10 @@
 static gint
 compare_entry_names(gconstpointer a, gconstpointer b)
 {
-    const struct rp_entry *left = *(const struct rp_entry *const *)a;
-    const struct rp_entry *right = *(const struct rp_entry *const *)b;
+    const struct rp_catalog_entry *left = *(
+        const struct rp_catalog_entry *const *)a;
+    const struct rp_catalog_entry *right = *(
+        const struct rp_catalog_entry *const *)b;
 
     return strcmp(left->name.data, right->name.data);
 }
@@ -633,8 +639,8 @@
     uint64_t highest = 0;
 
     for (guint i = 0; i < catalog->quarantine->len; i++) {
-        const struct rp_quarantine *row = &g_array_index(
-            catalog->quarantine, struct rp_quarantine, i);
+        const struct rp_quarantined_address *row = &g_array_index(
+            catalog->quarantine, struct rp_quarantined_address, i);
         highest = MAX(highest, row->revision);
     }
     return highest;
--- a/lib/control/rp_catalog.h
+++ b/lib/control/rp_catalog.h
@@ -7,7 +7,7 @@
  *
  * - Each accepted change gets the next revision; revisions never decrease.
  * - A change id is applied at most once. A change that is sent again gets the
- *   stored reply. The replies to the last RP_CATALOG_CHANGE_MEMORY ids are
+ *   stored reply. The replies to the last RP_CATALOG_MAX_ANSWERS ids are
  *   stored.
  * - A change based on a revision that is no longer current is refused, and
  *   the reply holds the current revision.
@@ -28,10 +28,10 @@
 #include "rp_edition.h"
 #include "rp_msg.h"
 
-#define RP_CATALOG_CHANGE_MEMORY 65536 /* change ids */
+#define RP_CATALOG_MAX_ANSWERS 65536 /* change ids */
 
 /* A service in the catalogue. */
-struct rp_entry {
+struct rp_catalog_entry {
     struct rp_name name;
     uint32_t id;
     uint32_t incarnation; /* changes when the address changes */
@@ -43,7 +43,7 @@
 
 /* An address that a service no longer uses but other services cannot use
  * yet. */
-struct rp_quarantine {
+struct rp_quarantined_address {
     uint32_t address;
     uint16_t port;
     uint64_t revision;      /* at which the service stopped using it */
@@ -100,8 +100,8 @@
 uint64_t RpCatalog_Revision(const struct rp_catalog *catalog);
 
 /* Returns the service with this name, or NULL. The catalogue owns it. */
-const struct rp_entry *RpCatalog_Find(const struct rp_catalog *catalog,
-                                      const struct rp_name *name);
+const struct rp_catalog_entry *RpCatalog_Find(const struct rp_catalog *catalog,
+                                              const struct rp_name *name);
 
 /* Lists all services, ordered by name. The catalogue owns the elements; free
  * the array with g_ptr_array_unref. */
@@ -115,7 +115,7 @@
 uint64_t RpCatalog_QuarantineRevision(const struct rp_catalog *catalog);
 
 /* Appends a copy of the error's findings to the reply. */
-void RpCatalog_ReplyFindings(struct rp_msg_change_reply *reply,
-                             const struct rp_error *error);
+void RpCatalog_AppendFindings(struct rp_msg_change_reply *reply,
+                              const struct rp_error *error);
 
 #endif
--- a/lib/control/rp_catalog_internal.h
+++ b/lib/control/rp_catalog_internal.h
@@ -18,18 +18,18 @@
     uint32_t next_id;
     bool initialised;
     uint8_t hash_key[RP_HASH_KEY_SIZE];
-    GHashTable *entries; /* name -> struct rp_entry */
+    GHashTable *entries; /* name -> struct rp_catalog_entry */
     GHashTable *answers; /* id bytes -> struct rp_catalog_answer */
     GQueue answer_order; /* of struct rp_catalog_answer, oldest first; owns
                             the elements */
-    GArray *quarantine;  /* of struct rp_quarantine */
+    GArray *quarantine;  /* of struct rp_quarantined_address */
     struct rp_edition edition; /* version 0: no edition yet */
     GString *edition_bytes;    /* `edition`, encoded; NULL: none yet */
 };
 
 /* Adds a service that the edition defines, with default limits for those that
  * the edition does not set. */
-struct rp_entry *
+struct rp_catalog_entry *
 RpCatalog_AddEditionService(struct rp_catalog *catalog,
                             const struct rp_edition_service *service,
                             uint32_t id, uint64_t revision);
@@ -42,7 +42,7 @@
 void RpCatalog_Clear(struct rp_catalog *catalog);
 
 /* Stores an answer, and drops the oldest ones above
- * RP_CATALOG_CHANGE_MEMORY. */
+ * RP_CATALOG_MAX_ANSWERS. */
 void RpCatalog_StoreAnswer(struct rp_catalog *catalog,
                            const struct rp_catalog_answer *answer);
 
--- a/lib/control/rp_catalog_snapshot.c
+++ b/lib/control/rp_catalog_snapshot.c
@@ -25,7 +25,7 @@
     uint8_t hash_key[RP_HASH_KEY_SIZE];
     GArray *entries;    /* of struct stored_entry */
     GArray *answers;    /* of struct rp_catalog_answer, oldest first */
-    GArray *quarantine; /* of struct rp_quarantine */
+    GArray *quarantine; /* of struct rp_quarantined_address */
     GArray *plain;      /* of struct stored_edition_service */
     GString *edition;   /* encoded; empty: no edition yet */
 };
@@ -50,13 +50,13 @@
     stored_entry, stored_entry_fields);
 
 static const struct rp_field quarantine_fields[] = {
-    RP_FIELD(RP_FIELD_UINT, rp_quarantine, address),
-    RP_FIELD(RP_FIELD_UINT, rp_quarantine, port),
-    RP_FIELD(RP_FIELD_UINT, rp_quarantine, revision),
-    RP_FIELD(RP_FIELD_NAME, rp_quarantine, service),
+    RP_FIELD(RP_FIELD_UINT, rp_quarantined_address, address),
+    RP_FIELD(RP_FIELD_UINT, rp_quarantined_address, port),
+    RP_FIELD(RP_FIELD_UINT, rp_quarantined_address, revision),
+    RP_FIELD(RP_FIELD_NAME, rp_quarantined_address, service),
 };
-static const struct rp_schema quarantine_schema = RP_SCHEMA(rp_quarantine,
-                                                            quarantine_fields);
+static const struct rp_schema quarantine_schema = RP_SCHEMA(
+    rp_quarantined_address, quarantine_fields);
 
 static const struct rp_field edition_service_fields[] = {
     RP_FIELD(RP_FIELD_NAME, stored_edition_service, name),
@@ -88,7 +88,7 @@
     GPtrArray *entries = RpCatalog_List(catalog);
 
     for (guint i = 0; i < entries->len; i++) {
-        const struct rp_entry *entry = g_ptr_array_index(entries, i);
+        const struct rp_catalog_entry *entry = g_ptr_array_index(entries, i);
         if (entry->from_edition) {
             const struct stored_edition_service service_row = {
                 .name = entry->name,
@@ -145,7 +145,7 @@
     struct rp_str text = {.data = row->text->str, .len = row->text->len};
 
     RP_FORWARD_IF_ERROR(RpDocument_Parse(text, &document, NULL));
-    struct rp_entry *entry = g_new0(struct rp_entry, 1);
+    struct rp_catalog_entry *entry = g_new0(struct rp_catalog_entry, 1);
     entry->name = document.name;
     entry->id = row->id;
     entry->incarnation = row->incarnation;
--- a/lib/control/rp_distribution.c
+++ b/lib/control/rp_distribution.c
@@ -79,12 +79,12 @@
     for (guint i = 0; i < list->len; i++) {
         const struct rp_upstream *upstream = g_ptr_array_index(list, i);
         const struct rp_msg_member member = {
-            .upstream = upstream->last.upstream,
-            .agent_ip = upstream->last.agent_ip,
-            .agent_port = upstream->last.agent_port,
-            .slots = upstream->last.slots,
+            .upstream = upstream->last_announce.upstream,
+            .agent_ip = upstream->last_announce.agent_ip,
+            .agent_port = upstream->last_announce.agent_port,
+            .slots = upstream->last_announce.slots,
             .state = (uint8_t)upstream->state,
-            .zone = upstream->last.zone};
+            .zone = upstream->last_announce.zone};
         if (upstream->state != RP_UPSTREAM_GONE) {
             g_array_append_val(members, member);
         }
@@ -94,7 +94,7 @@
 
 static void
 append_service(const struct rp_distribution *distribution,
-               const struct rp_entry *entry, GArray *services)
+               const struct rp_catalog_entry *entry, GArray *services)
 {
     const struct rp_document *document = &entry->document;
     struct rp_msg_service service = {
@@ -150,7 +150,7 @@
     GPtrArray *entries = RpCatalog_List(distribution->catalog);
 
     for (guint i = 0; i < entries->len; i++) {
-        const struct rp_entry *entry = g_ptr_array_index(entries, i);
+        const struct rp_catalog_entry *entry = g_ptr_array_index(entries, i);
         if (is_service_visible(distribution, node, &entry->name)) {
             append_service(distribution, entry, services);
         }
@@ -182,8 +182,8 @@
 
     g_hash_table_iter_init(&iter, names);
     while (g_hash_table_iter_next(&iter, &key, NULL)) {
-        const struct rp_entry *entry = RpCatalog_Find(distribution->catalog,
-                                                      key);
+        const struct rp_catalog_entry *entry = RpCatalog_Find(
+            distribution->catalog, key);
         if (entry && is_service_visible(distribution, node, &entry->name)) {
             append_service(distribution, entry, services);
         }
@@ -312,8 +312,8 @@
 }
 
 void
-RpDistribution_Touch(struct rp_distribution *distribution, int64_t now,
-                     const struct rp_name *service)
+RpDistribution_MarkServiceChanged(struct rp_distribution *distribution,
+                                  int64_t now, const struct rp_name *service)
 {
     g_hash_table_add(distribution->pending.services,
                      g_memdup2(service, sizeof *service));
@@ -321,8 +321,9 @@
 }
 
 void
-RpDistribution_Remove(struct rp_distribution *distribution, int64_t now,
-                      const struct rp_name *service, uint32_t id)
+RpDistribution_MarkServiceRemoved(struct rp_distribution *distribution,
+                                  int64_t now, const struct rp_name *service,
+                                  uint32_t id)
 {
     const struct removed_service row = {.name = *service, .id = id};
 
@@ -331,7 +332,8 @@
 }
 
 void
-RpDistribution_TouchEdition(struct rp_distribution *distribution, int64_t now)
+RpDistribution_MarkEditionChanged(struct rp_distribution *distribution,
+                                  int64_t now)
 {
     GPtrArray *entries = RpCatalog_List(distribution->catalog);
     GHashTable *previous = distribution->edition_services;
@@ -342,7 +344,7 @@
     distribution->edition_services = g_hash_table_new_full(
         RpName_Hash, RpName_EqualKeys, g_free, NULL);
     for (guint i = 0; i < entries->len; i++) {
-        const struct rp_entry *entry = g_ptr_array_index(entries, i);
+        const struct rp_catalog_entry *entry = g_ptr_array_index(entries, i);
         if (!entry->from_edition) {
             continue;
         }
@@ -352,7 +354,7 @@
         /* The catalogue's current revision marks the services that the new
          * edition added or changed. */
         if (entry->revision == RpCatalog_Revision(distribution->catalog)) {
-            RpDistribution_Touch(distribution, now, &entry->name);
+            RpDistribution_MarkServiceChanged(distribution, now, &entry->name);
         }
         if (RpDistribution_IsShared(distribution, &entry->name)) {
             g_hash_table_add(distribution->pending.shared_services,
@@ -363,8 +365,8 @@
     while (g_hash_table_iter_next(&iter, &key, &value)) {
         if (g_hash_table_lookup(distribution->edition_services, key) !=
             value) {
-            RpDistribution_Remove(distribution, now, key,
-                                  GPOINTER_TO_UINT(value));
+            RpDistribution_MarkServiceRemoved(distribution, now, key,
+                                              GPOINTER_TO_UINT(value));
             g_array_index(distribution->pending.removed_services,
                           struct removed_service,
                           distribution->pending.removed_services->len - 1)
@@ -378,9 +380,10 @@
 }
 
 void
-RpDistribution_TouchAll(struct rp_distribution *distribution, int64_t now)
+RpDistribution_MarkAllChanged(struct rp_distribution *distribution,
+                              int64_t now)
 {
-    RpDistribution_TouchEdition(distribution, now);
+    RpDistribution_MarkEditionChanged(distribution, now);
     distribution->pending.resend_all = true;
     schedule_flush(distribution, now);
 }
@@ -397,7 +400,7 @@
 }
 
 /* Updates the time since which each node is behind, and removes nodes that
- * have been disconnected for RP_NODE_KEEP_US. */
+ * have been disconnected for RP_NODE_RETENTION_US. */
 static void
 update_nodes(struct rp_distribution *distribution, int64_t now)
 {
@@ -409,7 +412,7 @@
         struct node *node = value;
         update_behind_since(distribution, node, now);
         if (node->connection == 0 &&
-            now - node->disconnected_at >= RP_NODE_KEEP_US) {
+            now - node->disconnected_at >= RP_NODE_RETENTION_US) {
             g_hash_table_iter_remove(&iter);
         }
     }
@@ -462,7 +465,8 @@
 }
 
 void
-RpDistribution_GatherUntil(struct rp_distribution *distribution, int64_t until)
+RpDistribution_SetGatheringUntil(struct rp_distribution *distribution,
+                                 int64_t until)
 {
     distribution->gathering_until = until;
 }
@@ -519,7 +523,7 @@
 }
 
 GArray *
-RpDistribution_Connections(const struct rp_distribution *distribution)
+RpDistribution_ListConnections(const struct rp_distribution *distribution)
 {
     GArray *list = g_array_new(FALSE, FALSE, sizeof(uint64_t));
     GHashTableIter iter;
@@ -536,13 +540,14 @@
 }
 
 uint64_t
-RpDistribution_Withheld(const struct rp_distribution *distribution)
+RpDistribution_WithheldCount(const struct rp_distribution *distribution)
 {
     return distribution->withheld_count;
 }
 
 GArray *
-RpDistribution_Nodes(const struct rp_distribution *distribution, int64_t now)
+RpDistribution_ListNodes(const struct rp_distribution *distribution,
+                         int64_t now)
 {
     GArray *rows = RpSchema_NewList(&rp_msg_node_info_schema);
     GHashTableIter iter;
--- a/lib/control/rp_distribution.h
+++ b/lib/control/rp_distribution.h
@@ -21,12 +21,12 @@
 
 #define RP_TABLE_BATCH_US (50 * RP_US_PER_MS)
 /* A node that stays disconnected this long is removed from the list. */
-#define RP_NODE_KEEP_US (3600 * RP_US_PER_SECOND)
+#define RP_NODE_RETENTION_US (3600 * RP_US_PER_SECOND)
 #define RP_NODE_MAX 65536
 /* How long after its start a replica waits for agents to announce their
  * upstreams to it: agents need 1.2 s to detect that their replica is gone,
  * and then try each of the other replicas. */
-#define RP_GATHER_US (2500 * RP_US_PER_MS)
+#define RP_GATHERING_US (2500 * RP_US_PER_MS)
 
 /* Sends a message on a connection. `msg` is valid only during the call. */
 typedef void (*RpDistribution_Send)(void *user, uint64_t connection,
@@ -63,22 +63,25 @@
 
 /* Schedules an update because the document or the members of `service`
  * changed. */
-void RpDistribution_Touch(struct rp_distribution *distribution, int64_t now,
-                          const struct rp_name *service);
+void RpDistribution_MarkServiceChanged(struct rp_distribution *distribution,
+                                       int64_t now,
+                                       const struct rp_name *service);
 
 /* Schedules an update that removes the service with this name and id. */
-void RpDistribution_Remove(struct rp_distribution *distribution, int64_t now,
-                           const struct rp_name *service, uint32_t id);
+void RpDistribution_MarkServiceRemoved(struct rp_distribution *distribution,
+                                       int64_t now,
+                                       const struct rp_name *service,
+                                       uint32_t id);
 
 /* Schedules an update because a new edition is in force: finds the services
  * and virtual addresses that differ from the previous edition. */
-void RpDistribution_TouchEdition(struct rp_distribution *distribution,
-                                 int64_t now);
+void RpDistribution_MarkEditionChanged(struct rp_distribution *distribution,
+                                       int64_t now);
 
 /* Schedules full tables for all nodes, for example after a snapshot was
  * restored. */
-void RpDistribution_TouchAll(struct rp_distribution *distribution,
-                             int64_t now);
+void RpDistribution_MarkAllChanged(struct rp_distribution *distribution,
+                                   int64_t now);
 
 /* Sets whether this replica's state is up to date. While it is not, a
  * balancer that has no table yet is not sent one. Agents, and balancers that
@@ -90,8 +93,8 @@
 /* Marks tables as possibly lacking members (`gathering`) until the time
  * `until`, because agents need time to find a replica that has just started.
  * At that time every node is sent a full table. */
-void RpDistribution_GatherUntil(struct rp_distribution *distribution,
-                                int64_t until);
+void RpDistribution_SetGatheringUntil(struct rp_distribution *distribution,
+                                      int64_t until);
 
 /* Sends the tables and updates that are due. Returns the time of the next
  * scheduled flush, or RP_NEVER. */
@@ -100,11 +103,13 @@
 
 /* Lists the connections of all connected nodes as uint64_t. The caller frees
  * the array. */
-GArray *RpDistribution_Connections(const struct rp_distribution *distribution);
+GArray *
+RpDistribution_ListConnections(const struct rp_distribution *distribution);
 
 /* Returns how often a flush withheld a full table from a node, summed over all
  * nodes. */
-uint64_t RpDistribution_Withheld(const struct rp_distribution *distribution);
+uint64_t
+RpDistribution_WithheldCount(const struct rp_distribution *distribution);
 
 /* Returns the lowest of the catalogue's revision and the revisions that the
  * connected nodes have confirmed. */
@@ -113,7 +118,7 @@
 
 /* Lists all known nodes as struct rp_msg_node_info, for a STATUS message. The
  * caller frees the array. */
-GArray *RpDistribution_Nodes(const struct rp_distribution *distribution,
-                             int64_t now);
+GArray *RpDistribution_ListNodes(const struct rp_distribution *distribution,
+                                 int64_t now);
 
 #endif
--- a/lib/control/rp_distribution_vips.c
+++ b/lib/control/rp_distribution_vips.c
@@ -36,8 +36,8 @@
     for (guint i = 0; i < from->targets->len; i++) {
         const struct rp_edition_target *target = &g_array_index(
             from->targets, struct rp_edition_target, i);
-        const struct rp_entry *entry = RpCatalog_Find(distribution->catalog,
-                                                      &target->service);
+        const struct rp_catalog_entry *entry = RpCatalog_Find(
+            distribution->catalog, &target->service);
         const struct rp_msg_target row = {.service_id = entry ? entry->id : 0,
                                           .weight = target->weight};
         g_array_append_val(vip.targets, row);
@@ -63,8 +63,8 @@
     if (node->service.len == 0) {
         return true;
     }
-    const struct rp_entry *entry = RpCatalog_Find(distribution->catalog,
-                                                  &node->service);
+    const struct rp_catalog_entry *entry = RpCatalog_Find(
+        distribution->catalog, &node->service);
     for (guint i = 0; entry && i < vip->targets->len; i++) {
         if (g_array_index(vip->targets, struct rp_msg_target, i).service_id ==
             entry->id) {
--- a/lib/control/rp_document.c
+++ b/lib/control/rp_document.c
@@ -247,7 +247,8 @@
 }
 
 void
-RpDocument_InitPlain(struct rp_document *document, const struct rp_name *name)
+RpDocument_InitDefaults(struct rp_document *document,
+                        const struct rp_name *name)
 {
     *document = (struct rp_document){
         .name = *name,
--- a/lib/control/rp_document.h
+++ b/lib/control/rp_document.h
@@ -48,7 +48,7 @@
 
 /* Initialises the document of a service that has only a name: no address of
  * its own, and the default for each limit. */
-void RpDocument_InitPlain(struct rp_document *document,
-                          const struct rp_name *name);
+void RpDocument_InitDefaults(struct rp_document *document,
+                             const struct rp_name *name);
 
 #endif
--- a/lib/control/rp_host.c
+++ b/lib/control/rp_host.c
@@ -10,15 +10,17 @@
 }
 
 int64_t
-RpHost_SilenceDeadline(const struct rp_host *host)
+RpHost_TimeoutDeadline(const struct rp_host *host)
 {
-    return host->heard + RP_HOST_MISSED_REPORTS * host->report_interval;
+    return host->last_report_at +
+           RP_HOST_TIMEOUT_INTERVALS * host->report_interval;
 }
 
 bool
-RpHost_IsHeard(const struct rp_host *host, int64_t now)
+RpHost_IsAlive(const struct rp_host *host, int64_t now)
 {
-    return host->known && !host->left && now < RpHost_SilenceDeadline(host);
+    return host->has_report && !host->said_goodbye &&
+           now < RpHost_TimeoutDeadline(host);
 }
 
 /* Returns whether the report belongs to another run than the last report. The
@@ -26,10 +28,10 @@
 static bool
 is_other_run(const struct rp_host *host, const struct rp_host_report *report)
 {
-    if (report->born_ms != 0 && host->last.born_ms != 0) {
-        return report->born_ms != host->last.born_ms;
+    if (report->host_start_ms != 0 && host->last_report.host_start_ms != 0) {
+        return report->host_start_ms != host->last_report.host_start_ms;
     }
-    return !RpName_Equal(&report->id, &host->last.id);
+    return !RpName_Equal(&report->id, &host->last_report.id);
 }
 
 /* Returns whether a report of another run belongs to a later run. The host's
@@ -40,59 +42,61 @@
 is_later_run(const struct rp_host *host, int64_t now,
              const struct rp_host_report *report)
 {
-    if (report->born_ms > host->last.born_ms || host->last.born_ms == 0) {
+    if (report->host_start_ms > host->last_report.host_start_ms ||
+        host->last_report.host_start_ms == 0) {
         return true;
     }
-    return !RpHost_IsHeard(host, now) &&
-           !RpName_Equal(&report->id, &host->last.id);
+    return !RpHost_IsAlive(host, now) &&
+           !RpName_Equal(&report->id, &host->last_report.id);
 }
 
 static void
 accept_report(struct rp_host *host, int64_t now,
               const struct rp_host_report *report)
 {
-    host->known = true;
-    host->last = *report;
-    host->heard = now;
+    host->has_report = true;
+    host->last_report = *report;
+    host->last_report_at = now;
 }
 
-enum rp_host_news
-RpHost_Report(struct rp_host *host, int64_t now,
-              const struct rp_host_report *report)
+enum rp_host_report_result
+RpHost_HandleReport(struct rp_host *host, int64_t now,
+                    const struct rp_host_report *report)
 {
     if (!RpName_Equal(&report->service, &host->service)) {
-        return RP_HOST_NEWS_FOREIGN;
+        return RP_HOST_REPORT_FOREIGN;
     }
-    if (!host->known) {
+    if (!host->has_report) {
         accept_report(host, now, report);
-        return RP_HOST_NEWS_STARTED;
+        return RP_HOST_REPORT_NEW_RUN;
     }
     if (is_other_run(host, report)) {
         if (!is_later_run(host, now, report)) {
-            return RP_HOST_NEWS_STALE;
+            return RP_HOST_REPORT_STALE;
         }
-        host->left = false;
+        host->said_goodbye = false;
         accept_report(host, now, report);
-        return RP_HOST_NEWS_STARTED;
+        return RP_HOST_REPORT_NEW_RUN;
     }
-    if (host->left || report->sequence <= host->last.sequence) {
-        return RP_HOST_NEWS_STALE;
+    if (host->said_goodbye || report->sequence <= host->last_report.sequence) {
+        return RP_HOST_REPORT_STALE;
     }
-    bool unchanged = report->draining == host->last.draining &&
-                     report->slots == host->last.slots &&
+    bool unchanged = report->draining == host->last_report.draining &&
+                     report->slots == host->last_report.slots &&
                      (report->cold_left_ms > 0) ==
-                         (host->last.cold_left_ms > 0);
+                         (host->last_report.cold_left_ms > 0);
     accept_report(host, now, report);
-    return unchanged ? RP_HOST_NEWS_SAME : RP_HOST_NEWS_CHANGED;
+    return unchanged ? RP_HOST_REPORT_UNCHANGED : RP_HOST_REPORT_CHANGED;
 }
 
 bool
-RpHost_Leave(struct rp_host *host, int64_t now, const struct rp_name *id)
+RpHost_HandleGoodbye(struct rp_host *host, int64_t now,
+                     const struct rp_name *id)
 {
-    if (!host->known || !RpName_Equal(&host->last.id, id)) {
+    if (!host->has_report || !RpName_Equal(&host->last_report.id, id)) {
         return false;
     }
-    host->left = true;
-    host->heard = now;
+    host->said_goodbye = true;
+    host->last_report_at = now;
     return true;
 }
--- a/lib/control/rp_host.h
+++ b/lib/control/rp_host.h
@@ -3,8 +3,8 @@
  * A host sends reports periodically. A report may arrive late or twice, or
  * come from an earlier run of the host or from a host of another service, and
  * reports may stop. A run is the time from one start of the host process to
- * its end. Runs are told apart by their start time (`born_ms`), because the
- * sequence numbers of reports restart in each run.
+ * its end. Runs are told apart by their start time (`host_start_ms`), because
+ * the sequence numbers of reports restart in each run.
  *
  * Nothing here does I/O or reads a clock. All times are microseconds on one
  * monotonic clock, unless a name says otherwise.
@@ -20,7 +20,7 @@
 #include "rp_time.h"
 
 /* The host times out after this many report intervals without a report. */
-#define RP_HOST_MISSED_REPORTS 3
+#define RP_HOST_TIMEOUT_INTERVALS 3
 /* The first report of a run has at most this sequence number. */
 #define RP_HOST_FIRST_SEQUENCE 1
 
@@ -28,29 +28,29 @@
 struct rp_host_report {
     struct rp_name id;      /* of this run of the host */
     struct rp_name service; /* that the host belongs to */
-    uint64_t born_ms;       /* start, by the host's wall clock; 0: unknown */
+    uint64_t host_start_ms; /* start, by the host's wall clock; 0: unknown */
     uint64_t sequence;      /* increases with each report of a run */
     uint32_t slots;        /* requests that the host serves at the same time */
     uint32_t cold_left_ms; /* remaining time of its cold start */
     bool draining;
 };
 
-/* What RpHost_Report did with a report. */
-enum rp_host_news {
-    RP_HOST_NEWS_STALE,   /* ignored: not newer than the latest report */
-    RP_HOST_NEWS_FOREIGN, /* ignored: from a host of another service */
-    RP_HOST_NEWS_SAME,    /* accepted; nothing changed but its time */
-    RP_HOST_NEWS_CHANGED, /* accepted; state, slots or cold start changed */
-    RP_HOST_NEWS_STARTED  /* accepted; first report of a run */
+/* What RpHost_HandleReport did with a report. */
+enum rp_host_report_result {
+    RP_HOST_REPORT_STALE,     /* ignored: not newer than the latest report */
+    RP_HOST_REPORT_FOREIGN,   /* ignored: from a host of another service */
+    RP_HOST_REPORT_UNCHANGED, /* accepted; nothing changed but its time */
+    RP_HOST_REPORT_CHANGED, /* accepted; state, slots or cold start changed */
+    RP_HOST_REPORT_NEW_RUN  /* accepted; first report of a run */
 };
 
 struct rp_host {
     struct rp_name service; /* reports of other services are ignored */
     int64_t report_interval;
-    bool known; /* a report has been accepted */
-    bool left;  /* the host has said goodbye since its latest report */
-    struct rp_host_report last;
-    int64_t heard; /* time of the latest report or goodbye */
+    bool has_report;   /* a report has been accepted */
+    bool said_goodbye; /* the host has said goodbye since its latest report */
+    struct rp_host_report last_report;
+    int64_t last_report_at; /* time of the latest report or goodbye */
 };
 
 /* Initialises the state of a host of this service that has not sent a report
@@ -59,17 +59,19 @@
                  int64_t report_interval);
 
 /* Handles a report: stores it if it is newer than the stored one. */
-enum rp_host_news RpHost_Report(struct rp_host *host, int64_t now,
-                                const struct rp_host_report *report);
+enum rp_host_report_result
+RpHost_HandleReport(struct rp_host *host, int64_t now,
+                    const struct rp_host_report *report);
 
 /* Handles a host's goodbye. Returns false, and changes nothing, if `id` is not
  * the id of the current run. */
-bool RpHost_Leave(struct rp_host *host, int64_t now, const struct rp_name *id);
+bool RpHost_HandleGoodbye(struct rp_host *host, int64_t now,
+                          const struct rp_name *id);
 
 /* Returns whether the host has reported recently enough to get new flows. */
-bool RpHost_IsHeard(const struct rp_host *host, int64_t now);
+bool RpHost_IsAlive(const struct rp_host *host, int64_t now);
 
 /* Returns when the host times out if it sends no report before. */
-int64_t RpHost_SilenceDeadline(const struct rp_host *host);
+int64_t RpHost_TimeoutDeadline(const struct rp_host *host);
 
 #endif
--- a/lib/control/rp_registry.c
+++ b/lib/control/rp_registry.c
@@ -103,7 +103,7 @@
 changes_table(const struct rp_upstream *known,
               const struct rp_msg_announce *announce)
 {
-    const struct rp_msg_announce *last = &known->last;
+    const struct rp_msg_announce *last = &known->last_announce;
 
     return known->state != (enum rp_upstream_state)announce->state ||
            last->agent_ip != announce->agent_ip ||
@@ -115,7 +115,7 @@
 static void
 index_upstream(struct rp_registry *registry, struct rp_upstream *upstream)
 {
-    const struct rp_name *service = &upstream->last.service;
+    const struct rp_name *service = &upstream->last_announce.service;
     GPtrArray *list = g_hash_table_lookup(registry->by_service, service);
 
     if (!list) {
@@ -129,7 +129,7 @@
 static void
 unindex_upstream(struct rp_registry *registry, struct rp_upstream *upstream)
 {
-    const struct rp_name *service = &upstream->last.service;
+    const struct rp_name *service = &upstream->last_announce.service;
     GPtrArray *list = g_hash_table_lookup(registry->by_service, service);
 
     g_ptr_array_remove_fast(list, upstream);
@@ -143,14 +143,14 @@
 store_announce(struct rp_registry *registry, struct rp_upstream *upstream,
                const struct rp_msg_announce *announce)
 {
-    bool service_changed = upstream->last.service.len == 0 ||
-                           !RpName_Equal(&upstream->last.service,
+    bool service_changed = upstream->last_announce.service.len == 0 ||
+                           !RpName_Equal(&upstream->last_announce.service,
                                          &announce->service);
 
-    if (service_changed && upstream->last.service.len) {
+    if (service_changed && upstream->last_announce.service.len) {
         unindex_upstream(registry, upstream);
     }
-    upstream->last = *announce;
+    upstream->last_announce = *announce;
     if (service_changed) {
         index_upstream(registry, upstream);
     }
@@ -163,7 +163,7 @@
     struct rp_upstream *upstream = g_new0(struct rp_upstream, 1);
 
     store_announce(registry, upstream, announce);
-    g_hash_table_insert(registry->upstreams, &upstream->last.upstream,
+    g_hash_table_insert(registry->upstreams, &upstream->last_announce.upstream,
                         upstream);
     return upstream;
 }
@@ -182,59 +182,60 @@
                   const struct rp_upstream *upstream)
 {
     if (!has_lease(upstream)) {
-        return upstream->drop_deadline;
+        return upstream->removal_deadline;
     }
-    if (upstream->via.len == 0) {
+    if (upstream->source_replica.len == 0) {
         return upstream->lease_deadline;
     }
     if (registry->cut_off) {
         return RP_NEVER;
     }
-    const int64_t *last_message = g_hash_table_lookup(registry->replicas,
-                                                      &upstream->via);
-    return (last_message ? *last_message : 0) + RP_REGISTRY_MOVE_US;
+    const int64_t *last_message = g_hash_table_lookup(
+        registry->replicas, &upstream->source_replica);
+    return (last_message ? *last_message : 0) + RP_REGISTRY_RECONNECT_US;
 }
 
 enum rp_registry_change
 RpRegistry_Merge(struct rp_registry *registry, int64_t now,
                  const struct rp_msg_announce *announce,
-                 const struct rp_name *via)
+                 const struct rp_name *source_replica)
 {
     struct rp_upstream *known = g_hash_table_lookup(registry->upstreams,
                                                     &announce->upstream);
     bool changed = true;
 
-    if (!is_valid(announce, via != NULL)) {
+    if (!is_valid(announce, source_replica != NULL)) {
         return RP_REGISTRY_REFUSED;
     }
     if (!known && g_hash_table_size(registry->upstreams) >= RP_REGISTRY_MAX) {
         return RP_REGISTRY_REFUSED;
     }
     if (known) {
-        if (RpAnnounce_Compare(announce, &known->last) <= 0) {
+        if (RpAnnounce_Compare(announce, &known->last_announce) <= 0) {
             return RP_REGISTRY_STALE;
         }
         /* If another replica forwarded the upstream before, all replicas must
          * learn that its agent is now connected to this one. */
         changed = changes_table(known, announce) ||
-                  (!via && known->via.len > 0);
+                  (!source_replica && known->source_replica.len > 0);
         store_announce(registry, known, announce);
     }
     else {
         known = add_upstream(registry, announce);
     }
     known->state = (enum rp_upstream_state)announce->state;
-    known->via = via ? *via : (struct rp_name){0};
+    known->source_replica = source_replica ? *source_replica
+                                           : (struct rp_name){0};
     known->lease_deadline = now + announce->lease_ms * RP_US_PER_MS;
-    known->drop_deadline = RP_NEVER;
+    known->removal_deadline = RP_NEVER;
     if (known->state == RP_UPSTREAM_GONE) {
-        known->drop_deadline = known->lease_deadline;
+        known->removal_deadline = known->lease_deadline;
     }
     if (known->state == RP_UPSTREAM_LOST) {
-        known->drop_deadline = now + RP_REGISTRY_LOST_KEEP_US;
+        known->removal_deadline = now + RP_REGISTRY_LOST_RETENTION_US;
     }
-    if (via) {
-        RpRegistry_ReplicaSeen(registry, now, via);
+    if (source_replica) {
+        RpRegistry_RecordReplicaMessage(registry, now, source_replica);
     }
     registry->next_deadline = MIN(registry->next_deadline,
                                   upstream_deadline(registry, known));
@@ -242,8 +243,8 @@
 }
 
 void
-RpRegistry_ReplicaSeen(struct rp_registry *registry, int64_t now,
-                       const struct rp_name *replica)
+RpRegistry_RecordReplicaMessage(struct rp_registry *registry, int64_t now,
+                                const struct rp_name *replica)
 {
     int64_t *last_message = g_hash_table_lookup(registry->replicas, replica);
 
@@ -268,8 +269,8 @@
     registry->next_deadline = now;
     g_hash_table_iter_init(&iter, registry->replicas);
     while (!cut_off && g_hash_table_iter_next(&iter, NULL, &value)) {
-        /* After the partition, each replica gets RP_REGISTRY_MOVE_US to send
-         * a message before its upstreams expire. */
+        /* After the partition, each replica gets RP_REGISTRY_RECONNECT_US to
+         * send a message before its upstreams expire. */
         *(int64_t *)value = now;
     }
 }
@@ -301,16 +302,16 @@
             next = MIN(next, deadline);
             continue;
         }
-        *expired = upstream->last;
+        *expired = upstream->last_announce;
         if (!has_lease(upstream)) {
             expired->state = RP_UPSTREAM_GONE;
             remove_upstream(registry, upstream, &iter);
             return true;
         }
         expired->state = RP_UPSTREAM_LOST;
-        upstream->last.state = RP_UPSTREAM_LOST;
+        upstream->last_announce.state = RP_UPSTREAM_LOST;
         upstream->state = RP_UPSTREAM_LOST;
-        upstream->drop_deadline = now + RP_REGISTRY_LOST_KEEP_US;
+        upstream->removal_deadline = now + RP_REGISTRY_LOST_RETENTION_US;
         return true;
     }
     registry->next_deadline = next;
@@ -330,7 +331,8 @@
     const struct rp_upstream *left = *(const struct rp_upstream *const *)a;
     const struct rp_upstream *right = *(const struct rp_upstream *const *)b;
 
-    return strcmp(left->last.upstream.data, right->last.upstream.data);
+    return strcmp(left->last_announce.upstream.data,
+                  right->last_announce.upstream.data);
 }
 
 GPtrArray *
--- a/lib/control/rp_registry.h
+++ b/lib/control/rp_registry.h
@@ -12,7 +12,7 @@
  * replicas.
  *
  * An upstream whose lease has expired is LOST, and is removed after
- * RP_REGISTRY_LOST_KEEP_US.
+ * RP_REGISTRY_LOST_RETENTION_US.
  *
  * All times are microseconds on one monotonic clock.
  */
@@ -28,20 +28,20 @@
 #define RP_LEASE_MAX_MS 60000
 /* How long a lost upstream stays listed, so that its agent can still be asked
  * for its open flows. */
-#define RP_REGISTRY_LOST_KEEP_US (600 * RP_US_PER_SECOND)
+#define RP_REGISTRY_LOST_RETENTION_US (600 * RP_US_PER_SECOND)
 #define RP_REGISTRY_MAX 65536 /* upstreams */
 /* How long after the latest message from a replica its upstreams stay valid,
  * so that their agents can connect to another replica and announce them. */
-#define RP_REGISTRY_MOVE_US (10 * RP_US_PER_SECOND)
+#define RP_REGISTRY_RECONNECT_US (10 * RP_US_PER_SECOND)
 
 /* One upstream. */
 struct rp_upstream {
-    struct rp_msg_announce last;
+    struct rp_msg_announce last_announce;
     enum rp_upstream_state state; /* LOST once the lease has expired */
     int64_t lease_deadline;
-    int64_t drop_deadline; /* when a LOST or GONE upstream is removed */
+    int64_t removal_deadline; /* when a LOST or GONE upstream is removed */
     /* The replica that the agent is connected to; empty: this replica. */
-    struct rp_name via;
+    struct rp_name source_replica;
 };
 
 enum rp_registry_change {
@@ -57,17 +57,17 @@
 
 void RpRegistry_Free(struct rp_registry *registry);
 
-/* Merges an announcement. `via` is the replica that forwarded it, or NULL if
- * it came from the agent itself. */
+/* Merges an announcement. `source_replica` is the replica that forwarded it,
+ * or NULL if it came from the agent itself. */
 enum rp_registry_change
 RpRegistry_Merge(struct rp_registry *registry, int64_t now,
                  const struct rp_msg_announce *announce,
-                 const struct rp_name *via);
+                 const struct rp_name *source_replica);
 
 /* Records a message from another replica, which keeps the upstreams that it
  * forwarded valid. */
-void RpRegistry_ReplicaSeen(struct rp_registry *registry, int64_t now,
-                            const struct rp_name *replica);
+void RpRegistry_RecordReplicaMessage(struct rp_registry *registry, int64_t now,
+                                     const struct rp_name *replica);
 
 /* Sets whether this replica is cut off from the majority of replicas. While
  * it is, upstreams that other replicas forwarded do not expire, because
--- a/lib/control/rp_status.c
+++ b/lib/control/rp_status.c
@@ -12,7 +12,7 @@
     switch (upstream->state) {
     case RP_UPSTREAM_READY:
         row->ready++;
-        row->slots += upstream->last.slots;
+        row->slots += upstream->last_announce.slots;
         break;
     case RP_UPSTREAM_DRAINING:
         row->draining++;
@@ -23,13 +23,13 @@
     case RP_UPSTREAM_GONE:
         return;
     }
-    row->flows += upstream->last.flows;
-    row->busy += upstream->last.busy;
+    row->flows += upstream->last_announce.flows;
+    row->busy += upstream->last_announce.busy;
 }
 
 static void
 append_service(const struct rp_registry *registry,
-               const struct rp_entry *entry, GArray *rows)
+               const struct rp_catalog_entry *entry, GArray *rows)
 {
     struct rp_msg_service_info row = {.name = entry->name,
                                       .id = entry->id,
@@ -53,7 +53,7 @@
     GPtrArray *entries = RpCatalog_List(catalog);
 
     for (guint i = 0; i < entries->len; i++) {
-        const struct rp_entry *entry = g_ptr_array_index(entries, i);
+        const struct rp_catalog_entry *entry = g_ptr_array_index(entries, i);
         if (!filter || RpName_Equal(&entry->name, filter)) {
             append_service(registry, entry, rows);
         }
@@ -63,8 +63,8 @@
 }
 
 void
-RpStatus_Services(const struct rp_catalog *catalog,
-                  const struct rp_registry *registry, struct rp_msg *msg)
+RpStatus_FillServices(const struct rp_catalog *catalog,
+                      const struct rp_registry *registry, struct rp_msg *msg)
 {
     *msg = (struct rp_msg){.type = RP_MSG_SERVICES};
     msg->services.revision = RpCatalog_Revision(catalog);
@@ -72,10 +72,10 @@
 }
 
 void
-RpStatus_Document(const struct rp_catalog *catalog,
-                  const struct rp_name *service, struct rp_msg *msg)
+RpStatus_FillDocument(const struct rp_catalog *catalog,
+                      const struct rp_name *service, struct rp_msg *msg)
 {
-    const struct rp_entry *entry = RpCatalog_Find(catalog, service);
+    const struct rp_catalog_entry *entry = RpCatalog_Find(catalog, service);
 
     *msg = (struct rp_msg){.type = RP_MSG_DOCUMENT};
     msg->document.service = *service;
@@ -97,7 +97,7 @@
 
     for (guint i = 0; i < list->len; i++) {
         const struct rp_upstream *upstream = g_ptr_array_index(list, i);
-        const struct rp_msg_announce *last = &upstream->last;
+        const struct rp_msg_announce *last = &upstream->last_announce;
         const struct rp_msg_upstream_info row = {
             .upstream = last->upstream,
             .service = last->service,
@@ -115,10 +115,10 @@
 }
 
 void
-RpStatus_Status(const struct rp_catalog *catalog,
-                const struct rp_registry *registry,
-                const struct rp_distribution *distribution, int64_t now,
-                const struct rp_name *service, struct rp_msg *msg)
+RpStatus_FillStatus(const struct rp_catalog *catalog,
+                    const struct rp_registry *registry,
+                    const struct rp_distribution *distribution, int64_t now,
+                    const struct rp_name *service, struct rp_msg *msg)
 {
     const struct rp_name *filter = service && service->len ? service : NULL;
 
@@ -126,6 +126,6 @@
     msg->status.revision = RpCatalog_Revision(catalog);
     msg->status.replicas = RpSchema_NewList(&rp_msg_replica_info_schema);
     msg->status.services = list_services(catalog, registry, filter);
-    msg->status.nodes = RpDistribution_Nodes(distribution, now);
+    msg->status.nodes = RpDistribution_ListNodes(distribution, now);
     msg->status.upstreams = list_upstreams(registry, filter);
 }
--- a/lib/control/rp_status.h
+++ b/lib/control/rp_status.h
@@ -9,20 +9,22 @@
 
 /* Fills a SERVICES message: one row per service, with the number of upstreams
  * in each state. */
-void RpStatus_Services(const struct rp_catalog *catalog,
-                       const struct rp_registry *registry, struct rp_msg *msg);
+void RpStatus_FillServices(const struct rp_catalog *catalog,
+                           const struct rp_registry *registry,
+                           struct rp_msg *msg);
 
 /* Fills a DOCUMENT message with the service's document as it was accepted, or
  * with the code RP_ERR_NOT_FOUND. */
-void RpStatus_Document(const struct rp_catalog *catalog,
-                       const struct rp_name *service, struct rp_msg *msg);
+void RpStatus_FillDocument(const struct rp_catalog *catalog,
+                           const struct rp_name *service, struct rp_msg *msg);
 
 /* Fills a STATUS message with services, upstreams and nodes. If `service` is
  * given, includes only that service and its upstreams. The list of replicas
  * stays empty; the caller fills it. */
-void RpStatus_Status(const struct rp_catalog *catalog,
-                     const struct rp_registry *registry,
-                     const struct rp_distribution *distribution, int64_t now,
-                     const struct rp_name *service, struct rp_msg *msg);
+void RpStatus_FillStatus(const struct rp_catalog *catalog,
+                         const struct rp_registry *registry,
+                         const struct rp_distribution *distribution,
+                         int64_t now, const struct rp_name *service,
+                         struct rp_msg *msg);
 
 #endif
--- a/programs/daemon/agent.c
+++ b/programs/daemon/agent.c
@@ -464,8 +464,8 @@
     }
     continue_stop(agent, now);
     RpTimer_RunBy(agent->timer, agent->announce_deadline);
-    if (RpHost_IsHeard(&agent->host, now)) {
-        RpTimer_RunBy(agent->timer, RpHost_SilenceDeadline(&agent->host));
+    if (RpHost_IsAlive(&agent->host, now)) {
+        RpTimer_RunBy(agent->timer, RpHost_TimeoutDeadline(&agent->host));
     }
     if (agent->drain_deadline != RP_NEVER) {
         RpTimer_RunBy(agent->timer, now + STOP_CHECK_US);
--- a/programs/daemon/agent_host.c
+++ b/programs/daemon/agent_host.c
@@ -18,7 +18,7 @@
     RpAgent_SetHostState(agent->flows, state);
     RpLog_Event(agent->daemon.log, RP_LOG_INFO, "host_state",
                 "state=%s host=%s flows=%u", names[state],
-                agent->host.last.id.data,
+                agent->host.last_report.id.data,
                 RpAgent_Load(agent->flows, RpClock_Now()).flows);
     RpAgentRole_Announce(agent);
 }
@@ -31,15 +31,15 @@
     if (agent->settings.host_reports.port == 0) {
         return;
     }
-    if (host->left) {
+    if (host->said_goodbye) {
         set_host_state(agent, RP_HOST_GONE);
     }
-    else if (!RpHost_IsHeard(host, now)) {
+    else if (!RpHost_IsAlive(host, now)) {
         set_host_state(agent, RP_HOST_UNKNOWN);
     }
     else {
-        set_host_state(agent,
-                       host->last.draining ? RP_HOST_DRAINING : RP_HOST_READY);
+        set_host_state(agent, host->last_report.draining ? RP_HOST_DRAINING
+                                                         : RP_HOST_READY);
     }
 }
 
@@ -52,18 +52,18 @@
 static void
 on_host_started(struct agent *agent, int64_t now, bool had_reported)
 {
-    const struct rp_host_report *report = &agent->host.last;
+    const struct rp_host_report *report = &agent->host.last_report;
 
     RpLog_Event(agent->daemon.log, RP_LOG_INFO, "host_started",
                 "host=%s born=%" G_GUINT64_FORMAT
                 " sequence=%" G_GUINT64_FORMAT " slots=%u",
-                report->id.data, report->born_ms, report->sequence,
+                report->id.data, report->host_start_ms, report->sequence,
                 report->slots);
     if (had_reported) {
         RpAgent_HostRestarted(agent->flows, now);
     }
     else if (report->sequence <= RP_HOST_FIRST_SEQUENCE ||
-             (int64_t)report->born_ms > agent->started_ms) {
+             (int64_t)report->host_start_ms > agent->started_ms) {
         RpAgent_SetKnowsAll(agent->flows);
     }
 }
@@ -73,23 +73,25 @@
 {
     struct agent *agent = user;
     int64_t now = RpClock_Now();
-    bool had_reported = agent->host.known;
-    enum rp_host_news outcome = RpHost_Report(&agent->host, now, report);
+    bool had_reported = agent->host.has_report;
+    enum rp_host_report_result outcome = RpHost_HandleReport(&agent->host, now,
+                                                             report);
 
-    if (outcome == RP_HOST_NEWS_FOREIGN) {
+    if (outcome == RP_HOST_REPORT_FOREIGN) {
         RpLog_Event(agent->daemon.log, RP_LOG_WARN, "host_foreign",
                     "host=%s service=%s", report->id.data,
                     report->service.data);
         return RP_ERR_NOT_FOUND;
     }
-    if (outcome == RP_HOST_NEWS_STALE) {
-        RpLog_Event(
-            agent->daemon.log, RP_LOG_WARN, "host_report_late",
-            "host=%s sequence=%" G_GUINT64_FORMAT " known=%" G_GUINT64_FORMAT,
-            report->id.data, report->sequence, agent->host.last.sequence);
+    if (outcome == RP_HOST_REPORT_STALE) {
+        RpLog_Event(agent->daemon.log, RP_LOG_WARN, "host_report_late",
+                    "host=%s sequence=%" G_GUINT64_FORMAT
+                    " known=%" G_GUINT64_FORMAT,
+                    report->id.data, report->sequence,
+                    agent->host.last_report.sequence);
         return RP_OK;
     }
-    if (outcome == RP_HOST_NEWS_STARTED) {
+    if (outcome == RP_HOST_REPORT_NEW_RUN) {
         on_host_started(agent, now, had_reported);
     }
     RpAgent_SetHostSlots(agent->flows, report->slots);
@@ -104,7 +106,7 @@
     struct agent *agent = user;
     int64_t now = RpClock_Now();
 
-    if (!RpHost_Leave(&agent->host, now, id)) {
+    if (!RpHost_HandleGoodbye(&agent->host, now, id)) {
         RpLog_Event(agent->daemon.log, RP_LOG_WARN, "host_goodbye_foreign",
                     "host=%s", id->data);
     }
--- a/programs/daemon/agent_log.c
+++ b/programs/daemon/agent_log.c
@@ -87,7 +87,7 @@
                 "flow=%s reason=%s busy=%u slots=%u flows=%u host=%s "
                 "revision=%" G_GUINT64_FORMAT,
                 flow->str, RpCounter_Name(action->reason), load.busy,
-                load.slots, load.flows, agent->host.last.id.data,
+                load.slots, load.flows, agent->host.last_report.id.data,
                 RpTable_Revision(RpUplink_Table(agent->uplink)));
     g_string_free(flow, TRUE);
 }
--- a/programs/daemon/control.c
+++ b/programs/daemon/control.c
@@ -97,7 +97,7 @@
     RpLog_Event(control->daemon.log, RP_LOG_INFO, "state_restored",
                 "revision=%" G_GUINT64_FORMAT,
                 RpCatalog_Revision(get_catalog(control)));
-    RpDistribution_TouchAll(control->distribution, RpClock_Now());
+    RpDistribution_MarkAllChanged(control->distribution, RpClock_Now());
 }
 
 static void
@@ -185,14 +185,16 @@
     bool has_log = RpReplica_Members(get_replica(control))->len > 0;
     bool fresh = RpReplica_IsFresh(get_replica(control), now);
 
-    if (RpStanding_Update(&control->standing, now, has_log, fresh)) {
+    if (RpDisconnectPolicy_Update(&control->disconnect_policy, now, has_log,
+                                  fresh)) {
         RpDistribution_SetFresh(control->distribution, now, fresh);
         RpRegistry_SetCutOff(control->registry, now, !fresh);
         RpLog_Event(control->daemon.log, fresh ? RP_LOG_INFO : RP_LOG_WARN,
                     fresh ? "replica_fresh" : "replica_cut_off", "role=%s",
                     RpReplica_RoleName(get_replica(control)));
     }
-    if (RpStanding_SendsAway(&control->standing, now)) {
+    if (RpDisconnectPolicy_ShouldDisconnect(&control->disconnect_policy,
+                                            now)) {
         RpControl_DisconnectNodes(control);
     }
 }
@@ -203,8 +205,8 @@
     struct rp_msg msg = {.type = RP_MSG_ANNOUNCE};
 
     while (RpRegistry_Expire(control->registry, now, &msg.announce)) {
-        RpDistribution_Touch(control->distribution, now,
-                             &msg.announce.service);
+        RpDistribution_MarkServiceChanged(control->distribution, now,
+                                          &msg.announce.service);
         if (msg.announce.state != RP_UPSTREAM_LOST) {
             continue;
         }
@@ -259,7 +261,7 @@
         RpControlEditions_AnswerPending(control->editions, now);
     }
     control->daemon.counters.value[RP_COUNT_TABLE_WITHHELD] =
-        RpDistribution_Withheld(control->distribution);
+        RpDistribution_WithheldCount(control->distribution);
     return G_SOURCE_CONTINUE;
 }
 
@@ -268,7 +270,7 @@
 {
     const struct control *control = user;
 
-    if (!control->standing.fresh) {
+    if (!control->disconnect_policy.fresh) {
         g_string_append(why, "cut off from the leader");
         return false;
     }
@@ -291,7 +293,8 @@
         RpDistribution_LowestConfirmed(control->distribution),
         g_hash_table_size(control->clients), RpReplica_Term(replica),
         RpReplica_CommitIndex(replica),
-        RpReplica_Role(replica) == RP_REPLICA_LEADER, control->standing.fresh);
+        RpReplica_Role(replica) == RP_REPLICA_LEADER,
+        control->disconnect_policy.fresh);
 }
 
 static const struct rp_admin_ops admin_ops = {.healthy = is_healthy,
@@ -472,11 +475,11 @@
     control->pending = g_hash_table_new_full(g_int64_hash, g_int64_equal,
                                              g_free, g_free);
     control->links = RpControlLinks_Create(control);
-    RpStanding_Init(&control->standing, RpClock_Now());
+    RpDisconnectPolicy_Init(&control->disconnect_policy, RpClock_Now());
     g_timeout_add(TICK_MS, on_tick, control);
-    RpDistribution_TouchAll(control->distribution, RpClock_Now());
-    RpDistribution_GatherUntil(control->distribution,
-                               RpClock_Now() + RP_GATHER_US);
+    RpDistribution_MarkAllChanged(control->distribution, RpClock_Now());
+    RpDistribution_SetGatheringUntil(control->distribution,
+                                     RpClock_Now() + RP_GATHERING_US);
     RpControlReplica_SetCounters(control->replica, &control->daemon.counters);
     if (is_initial_replica(control)) {
         create_initial_members(control);
--- a/programs/daemon/control.h
+++ b/programs/daemon/control.h
@@ -8,7 +8,7 @@
 #include "rp_distribution.h"
 #include "rp_platform.h"
 #include "rp_registry.h"
-#include "rp_standing.h"
+#include "rp_disconnect_policy.h"
 
 struct control_settings {
     struct rp_common_settings common;
@@ -41,7 +41,7 @@
     GHashTable *clients; /* connection number -> struct client */
     GHashTable *pending; /* log index -> struct pending_change */
     int64_t changed_at;  /* when the newest change was applied; 0: none */
-    struct rp_standing standing;
+    struct rp_disconnect_policy disconnect_policy;
     /* Role, leader and term in the last "replica_role" log line. */
     enum rp_replica_role logged_role;
     uint64_t logged_leader; /* replica id; 0: none known */
--- a/programs/daemon/control_links.c
+++ b/programs/daemon/control_links.c
@@ -69,8 +69,8 @@
     for (guint i = 0; i < list->len; i++) {
         const struct rp_upstream *upstream = g_ptr_array_index(list, i);
         const struct rp_msg msg = {.type = RP_MSG_ANNOUNCE,
-                                   .announce = upstream->last};
-        if (upstream->via.len == 0) {
+                                   .announce = upstream->last_announce};
+        if (upstream->source_replica.len == 0) {
             RpConn_Send(conn, &msg);
         }
     }
--- a/programs/daemon/control_nodes.c
+++ b/programs/daemon/control_nodes.c
@@ -53,7 +53,7 @@
 void
 RpControl_DisconnectNodes(struct control *control)
 {
-    GArray *list = RpDistribution_Connections(control->distribution);
+    GArray *list = RpDistribution_ListConnections(control->distribution);
 
     for (guint i = 0; i < list->len; i++) {
         const struct client *client = find_client(
@@ -102,11 +102,12 @@
     }
     control->changed_at = now;
     if (RpCatalog_Find(get_catalog(control), &reply->service)) {
-        RpDistribution_Touch(control->distribution, now, &reply->service);
+        RpDistribution_MarkServiceChanged(control->distribution, now,
+                                          &reply->service);
     }
     else {
-        RpDistribution_Remove(control->distribution, now, &reply->service,
-                              reply->service_id);
+        RpDistribution_MarkServiceRemoved(control->distribution, now,
+                                          &reply->service, reply->service_id);
     }
 }
 
@@ -127,8 +128,8 @@
                 reply->repeated);
     if (reply->code == RP_OK && !reply->repeated) {
         control->changed_at = RpClock_Now();
-        RpDistribution_TouchEdition(control->distribution,
-                                    control->changed_at);
+        RpDistribution_MarkEditionChanged(control->distribution,
+                                          control->changed_at);
     }
     if (control->editions) {
         RpControlEditions_OnApplied(control->editions, entry, reply);
@@ -215,7 +216,7 @@
     struct rp_name old_service = {0};
 
     if (known) {
-        old_service = known->last.service;
+        old_service = known->last_announce.service;
     }
     enum rp_registry_change change = RpRegistry_Merge(control->registry, now,
                                                       announce, via);
@@ -236,9 +237,11 @@
                 announce->upstream.data, announce->service.data,
                 RpUpstreamState_Name((enum rp_upstream_state)announce->state),
                 announce->slots);
-    RpDistribution_Touch(control->distribution, now, &announce->service);
+    RpDistribution_MarkServiceChanged(control->distribution, now,
+                                      &announce->service);
     if (old_service.len) {
-        RpDistribution_Touch(control->distribution, now, &old_service);
+        RpDistribution_MarkServiceChanged(control->distribution, now,
+                                          &old_service);
     }
     return change;
 }
@@ -256,9 +259,9 @@
     }
     const struct rp_upstream *known = RpRegistry_Find(control->registry,
                                                       &announce->upstream);
-    if (known && known->last.incarnation > announce->incarnation) {
+    if (known && known->last_announce.incarnation > announce->incarnation) {
         const struct rp_msg msg = {.type = RP_MSG_ANNOUNCE,
-                                   .announce = known->last};
+                                   .announce = known->last_announce};
         RpConn_Send(client->conn, &msg);
     }
 }
@@ -296,7 +299,7 @@
         return;
     }
     control->sent_members_digest = digest;
-    GArray *list = RpDistribution_Connections(control->distribution);
+    GArray *list = RpDistribution_ListConnections(control->distribution);
     struct rp_msg msg;
     build_controls_msg(control, &msg);
     for (guint i = 0; i < list->len; i++) {
@@ -316,7 +319,7 @@
 {
     struct rp_msg msg;
 
-    if (!RpStanding_KeepsNodes(&control->standing)) {
+    if (!RpDisconnectPolicy_AcceptsNodes(&control->disconnect_policy)) {
         RpCounters_Add(&control->daemon.counters, RP_COUNT_NODE_SENT_ON);
         RpLog_Event(control->daemon.log, RP_LOG_INFO, "node_sent_on",
                     "node=%s reason=no_log", client->hello.name.data);
@@ -354,7 +357,7 @@
 {
     const struct rp_replica *replica = get_replica(control);
 
-    RpStatus_Document(get_catalog(control), service, msg);
+    RpStatus_FillDocument(get_catalog(control), service, msg);
     if (RpReplica_Role(replica) != RP_REPLICA_LEADER ||
         !RpReplica_IsFresh(replica, RpClock_Now())) {
         msg->document.code = RP_ERR_NO_LEADER;
@@ -369,15 +372,15 @@
 
     switch (query->kind) {
     case RP_QUERY_SERVICES:
-        RpStatus_Services(get_catalog(control), control->registry, &msg);
+        RpStatus_FillServices(get_catalog(control), control->registry, &msg);
         break;
     case RP_QUERY_DOCUMENT:
         build_document_reply(control, &query->service, &msg);
         break;
     default:
-        RpStatus_Status(get_catalog(control), control->registry,
-                        control->distribution, RpClock_Now(), &query->service,
-                        &msg);
+        RpStatus_FillStatus(get_catalog(control), control->registry,
+                            control->distribution, RpClock_Now(),
+                            &query->service, &msg);
         g_array_free(msg.status.replicas, TRUE);
         msg.status.replicas = list_this_replica(control);
     }
@@ -449,7 +452,8 @@
     if (client->hello.role == RP_ROLE_CONTROL) {
         RpControlLinks_SetConfirmed(control->links, now, &client->hello.name,
                                     revision);
-        RpRegistry_ReplicaSeen(control->registry, now, &client->hello.name);
+        RpRegistry_RecordReplicaMessage(control->registry, now,
+                                        &client->hello.name);
         return;
     }
     if (RpDistribution_Confirm(control->distribution, now,
--- a/tests/measure/cost.c
+++ b/tests/measure/cost.c
@@ -473,7 +473,7 @@
         now += RP_US_PER_SECOND;
         apply_document(catalog, 1, 2);
         name_it(&service, "service", 1);
-        RpDistribution_Touch(distribution, now, &service);
+        RpDistribution_MarkServiceChanged(distribution, now, &service);
         now += RP_TABLE_BATCH_US;
         start = now_ns();
         RpDistribution_Flush(distribution, now);
@@ -484,7 +484,7 @@
         sent_bytes = 0;
         for (unsigned j = 0; j < sizes[i]; j += 21) {
             name_it(&service, "service", j);
-            RpDistribution_Touch(distribution, now, &service);
+            RpDistribution_MarkServiceChanged(distribution, now, &service);
         }
         now += RP_TABLE_BATCH_US;
         RpDistribution_Flush(distribution, now);
@@ -587,7 +587,7 @@
         double apply_ms = (double)(now_ns() - start) / 1e6;
         now += RP_US_PER_SECOND;
         start = now_ns();
-        RpDistribution_TouchEdition(distribution, now);
+        RpDistribution_MarkEditionChanged(distribution, now);
         RpDistribution_Flush(distribution, now + RP_TABLE_BATCH_US);
         printf("cost edition addresses=%u apply_ms=%.2f entry_kb=%zu "
                "join_ms=%.2f join_kb=%" G_GUINT64_FORMAT
--- a/tests/unit/test_budget.c
+++ b/tests/unit/test_budget.c
@@ -6,7 +6,7 @@
 #include "rp_conn.h"
 #include "rp_distribution.h"
 #include "rp_replica.h"
-#include "rp_standing.h"
+#include "rp_disconnect_policy.h"
 #include "rp_reconnect.h"
 
 /* Required by the users: a change is in force on every connected machine
@@ -37,7 +37,7 @@
 static void
 test_change_reaches_node_of_cut_off_replica(void **state)
 {
-    int64_t disconnect = RP_LEASE_US + RP_SEND_AWAY_MIN_US;
+    int64_t disconnect = RP_LEASE_US + RP_DISCONNECT_WAIT_MIN_US;
     int64_t retry = RP_RECONNECT_PAUSE_MIN_MS * RP_US_PER_MS * 3 / 2;
 
     (void)state;
@@ -67,7 +67,7 @@
     assert_true(RP_LEASE_US > 2 * RP_HEARTBEAT_INTERVAL_US);
     /* Nodes stay with a cut-off replica until an election has begun, which
      * takes at most twice RP_ELECTION_TIMEOUT_US. */
-    assert_true(RP_SEND_AWAY_MIN_US >= 2 * RP_ELECTION_TIMEOUT_US);
+    assert_true(RP_DISCONNECT_WAIT_MIN_US >= 2 * RP_ELECTION_TIMEOUT_US);
     assert_true(RP_CONN_SILENCE_TIMEOUT_US > 2 * RP_CONN_PING_INTERVAL_US);
 }
 
--- a/tests/unit/test_control.c
+++ b/tests/unit/test_control.c
@@ -238,8 +238,8 @@
     /* An upstream that stays LOST is removed. */
     end += 2001 * RP_US_PER_MS;
     assert_true(RpRegistry_Expire(registry, end, &expired));
-    assert_true(
-        RpRegistry_Expire(registry, end + RP_REGISTRY_LOST_KEEP_US, &expired));
+    assert_true(RpRegistry_Expire(
+        registry, end + RP_REGISTRY_LOST_RETENTION_US, &expired));
     assert_null(RpRegistry_Find(registry, &name));
     RpRegistry_Free(registry);
 }
@@ -266,16 +266,18 @@
     assert_true(RpRegistry_Expire(registry, hour, &expired));
     assert_string_equal(expired.upstream.data, "upstream-1");
     assert_false(RpRegistry_Expire(registry, hour, &expired));
-    /* After the partition, the upstream stays valid for RP_REGISTRY_MOVE_US,
-     * and for as long again after each message from the other replica. */
+    /* After the partition, the upstream stays valid for
+     * RP_REGISTRY_RECONNECT_US, and for as long again after each message from
+     * the other replica. */
     RpRegistry_SetCutOff(registry, hour, false);
-    assert_false(
-        RpRegistry_Expire(registry, hour + RP_REGISTRY_MOVE_US - 1, &expired));
-    RpRegistry_ReplicaSeen(registry, hour + RP_US_PER_SECOND, &other);
-    assert_false(
-        RpRegistry_Expire(registry, hour + RP_REGISTRY_MOVE_US, &expired));
+    assert_false(RpRegistry_Expire(
+        registry, hour + RP_REGISTRY_RECONNECT_US - 1, &expired));
+    RpRegistry_RecordReplicaMessage(registry, hour + RP_US_PER_SECOND, &other);
+    assert_false(RpRegistry_Expire(registry, hour + RP_REGISTRY_RECONNECT_US,
+                                   &expired));
     assert_true(RpRegistry_Expire(
-        registry, hour + RP_REGISTRY_MOVE_US + RP_US_PER_SECOND, &expired));
+        registry, hour + RP_REGISTRY_RECONNECT_US + RP_US_PER_SECOND,
+        &expired));
     assert_string_equal(expired.upstream.data, "upstream-far");
     assert_int_equal(expired.state, RP_UPSTREAM_LOST);
     /* Its agent has connected to this replica, so the change must be
@@ -327,8 +329,8 @@
         }
         RpName_Set(&name, RP_STR("upstream-1"));
         const struct rp_upstream *merged = RpRegistry_Find(registry, &name);
-        assert_int_equal(merged->last.incarnation, 3);
-        assert_int_equal(merged->last.sequence, 4);
+        assert_int_equal(merged->last_announce.incarnation, 3);
+        assert_int_equal(merged->last_announce.sequence, 4);
         RpRegistry_Free(registry);
         g_rand_free(rng);
     }
--- a/tests/unit/test_standing.c
+++ b/tests/unit/test_disconnect_policy.c
@@ -3,7 +3,7 @@
 #include <glib.h>
 
 #include "check.h"
-#include "rp_standing.h"
+#include "rp_disconnect_policy.h"
 
 #define START (1000 * RP_US_PER_SECOND)
 
@@ -47,15 +47,16 @@
 static void
 test_keeps_and_disconnects_nodes(void **state)
 {
-    struct rp_standing policy;
+    struct rp_disconnect_policy policy;
 
     (void)state;
-    RpStanding_Init(&policy, START);
+    RpDisconnectPolicy_Init(&policy, START);
     for (size_t i = 0; i < G_N_ELEMENTS(steps); i++) {
         int64_t now = START + steps[i].at_ms * RP_US_PER_MS;
-        RpStanding_Update(&policy, now, steps[i].has_log, steps[i].fresh);
-        bool keeps = RpStanding_KeepsNodes(&policy);
-        bool disconnects = RpStanding_SendsAway(&policy, now);
+        RpDisconnectPolicy_Update(&policy, now, steps[i].has_log,
+                                  steps[i].fresh);
+        bool keeps = RpDisconnectPolicy_AcceptsNodes(&policy);
+        bool disconnects = RpDisconnectPolicy_ShouldDisconnect(&policy, now);
         if (keeps != steps[i].keeps || disconnects != steps[i].disconnects) {
             print_error("%" G_GINT64_FORMAT " ms, %s: keeps=%d "
                         "disconnects=%d\n",
@@ -66,19 +67,19 @@
     }
 }
 
-/* RpStanding_Update returns true exactly once for each change between fresh
- * and cut off. */
+/* RpDisconnectPolicy_Update returns true exactly once for each change between
+ * fresh and cut off. */
 static void
 test_update_reports_each_change_once(void **state)
 {
-    struct rp_standing policy;
+    struct rp_disconnect_policy policy;
 
     (void)state;
-    RpStanding_Init(&policy, START);
-    assert_false(RpStanding_Update(&policy, START, false, false));
-    assert_true(RpStanding_Update(&policy, START, true, true));
-    assert_false(RpStanding_Update(&policy, START, true, true));
-    assert_true(RpStanding_Update(&policy, START, true, false));
+    RpDisconnectPolicy_Init(&policy, START);
+    assert_false(RpDisconnectPolicy_Update(&policy, START, false, false));
+    assert_true(RpDisconnectPolicy_Update(&policy, START, true, true));
+    assert_false(RpDisconnectPolicy_Update(&policy, START, true, true));
+    assert_true(RpDisconnectPolicy_Update(&policy, START, true, false));
 }
 
 int
--- a/tests/unit/test_distribution.c
+++ b/tests/unit/test_distribution.c
@@ -81,11 +81,12 @@
                     &reply);
     assert_int_equal(reply.code, RP_OK);
     if (document) {
-        RpDistribution_Touch(fixture->distribution, now, &reply.service);
+        RpDistribution_MarkServiceChanged(fixture->distribution, now,
+                                          &reply.service);
     }
     else {
-        RpDistribution_Remove(fixture->distribution, now, &reply.service,
-                              reply.service_id);
+        RpDistribution_MarkServiceRemoved(fixture->distribution, now,
+                                          &reply.service, reply.service_id);
     }
     g_string_free(command, TRUE);
     RpSchema_Clear(&rp_msg_change_reply_schema, &reply);
@@ -175,7 +176,7 @@
     RpDistribution_Confirm(distribution, 3, 1, 2);
     RpDistribution_Disconnect(distribution, 3, 2);
     assert_int_equal(RpDistribution_LowestConfirmed(distribution), 2);
-    GArray *nodes = RpDistribution_Nodes(distribution, 4);
+    GArray *nodes = RpDistribution_ListNodes(distribution, 4);
     assert_int_equal(nodes->len, 2);
     g_array_free(nodes, TRUE);
 }
--- a/tests/unit/test_edition.c
+++ b/tests/unit/test_edition.c
@@ -145,7 +145,7 @@
     struct rp_name name;
 
     RpName_Set(&name, RpStr_FromC(text));
-    const struct rp_entry *entry = RpCatalog_Find(catalog, &name);
+    const struct rp_catalog_entry *entry = RpCatalog_Find(catalog, &name);
     return entry ? entry->id : 0;
 }
 
@@ -298,7 +298,7 @@
     apply_and_check(catalog, one_route, RP_OK, false, 7);
     struct rp_distribution *distribution = RpDistribution_Create(
         catalog, registry, record_message, sent);
-    RpDistribution_TouchAll(distribution, 0);
+    RpDistribution_MarkAllChanged(distribution, 0);
     RpDistribution_SetFresh(distribution, 0, true);
     subscribe(distribution, 1, "balancer-1", RP_ROLE_BALANCER, "");
     subscribe(distribution, 2, "agent-1", RP_ROLE_AGENT, "shelf");
@@ -308,7 +308,7 @@
     assert_true(resolves_to(sent[1].table, 0x0a010001, 443, "lens"));
 
     apply_and_check(catalog, two_routes, RP_OK, false, 9);
-    RpDistribution_TouchEdition(distribution, later);
+    RpDistribution_MarkEditionChanged(distribution, later);
     RpDistribution_Flush(distribution, 2 * later);
     assert_int_equal(sent[1].vips, 1);
     assert_int_equal(sent[1].services, 0);
@@ -323,7 +323,7 @@
                         "10.1.0.2", "80", "9",
                         "new") "],\"services\":[{\"name\":\"new\"}]}",
                     RP_OK, false, 13);
-    RpDistribution_TouchEdition(distribution, 2 * later);
+    RpDistribution_MarkEditionChanged(distribution, 2 * later);
     RpDistribution_Flush(distribution, 3 * later);
     assert_int_equal(sent[1].vips, 1);
     assert_int_equal(sent[1].removed_vips, 1);
@@ -341,7 +341,7 @@
 }
 
 /* A replica that has just started marks its tables as gathering, and sends
- * full tables without the mark after RP_GATHER_US. */
+ * full tables without the mark after RP_GATHERING_US. */
 static void
 test_gathering_tables(void **state)
 {
@@ -354,15 +354,15 @@
     apply_and_check(catalog, two_routes, RP_OK, false, 9);
     struct rp_distribution *distribution = RpDistribution_Create(
         catalog, registry, record_message, sent);
-    RpDistribution_GatherUntil(distribution, RP_GATHER_US);
+    RpDistribution_SetGatheringUntil(distribution, RP_GATHERING_US);
     RpDistribution_SetFresh(distribution, 0, true);
     subscribe(distribution, 1, "balancer-1", RP_ROLE_BALANCER, "");
     RpDistribution_Flush(distribution, 1);
     assert_int_equal(sent[1].count, 1);
     assert_true(RpTable_IsGathering(sent[1].table));
-    RpDistribution_Flush(distribution, RP_GATHER_US - 1);
+    RpDistribution_Flush(distribution, RP_GATHERING_US - 1);
     assert_int_equal(sent[1].count, 1);
-    RpDistribution_Flush(distribution, RP_GATHER_US);
+    RpDistribution_Flush(distribution, RP_GATHERING_US);
     assert_int_equal(sent[1].count, 2);
     assert_false(RpTable_IsGathering(sent[1].table));
     assert_int_equal(sent[1].vips, 2);
--- a/tests/unit/test_host.c
+++ b/tests/unit/test_host.c
@@ -27,8 +27,8 @@
     uint64_t born;
     uint64_t sequence;
     bool draining;
-    bool goodbye;             /* false: a report */
-    enum rp_host_news result; /* of a report */
+    bool goodbye;                      /* false: a report */
+    enum rp_host_report_result result; /* of a report */
     bool alive; /* whether the host may get new flows afterwards */
 };
 
@@ -45,22 +45,23 @@
         const struct rp_host_report report = {
             .id = make_name(event->id),
             .service = event->service ? make_name(event->service) : service,
-            .born_ms = event->born,
+            .host_start_ms = event->born,
             .sequence = event->sequence,
             .slots = 7,
             .draining = event->draining};
 
         if (event->goodbye) {
-            RpHost_Leave(&host, now, &report.id);
+            RpHost_HandleGoodbye(&host, now, &report.id);
         }
         else {
-            enum rp_host_news result = RpHost_Report(&host, now, &report);
+            enum rp_host_report_result result = RpHost_HandleReport(&host, now,
+                                                                    &report);
             if (result != event->result) {
                 fail_msg("%s, event %zu: result %d, expected %d", title, i,
                          result, event->result);
             }
         }
-        if (RpHost_IsHeard(&host, now) != event->alive) {
+        if (RpHost_IsAlive(&host, now) != event->alive) {
             fail_msg("%s, event %zu: alive %d, expected %d", title, i,
                      !event->alive, event->alive);
         }
@@ -79,52 +80,59 @@
     (void)state;
     RUN_EVENTS(
         "reports and a goodbye of one run",
-        {0, "i-1", NULL, 100, 1, false, false, RP_HOST_NEWS_STARTED, true},
-        {1200, "i-1", NULL, 100, 2, false, false, RP_HOST_NEWS_SAME, true},
-        {2400, "i-1", NULL, 100, 3, true, false, RP_HOST_NEWS_CHANGED, true},
-        {3000, "i-1", NULL, 100, 0, false, true, RP_HOST_NEWS_SAME, false},
-        {3100, "i-1", NULL, 100, 4, false, false, RP_HOST_NEWS_STALE, false});
+        {0, "i-1", NULL, 100, 1, false, false, RP_HOST_REPORT_NEW_RUN, true},
+        {1200, "i-1", NULL, 100, 2, false, false, RP_HOST_REPORT_UNCHANGED,
+         true},
+        {2400, "i-1", NULL, 100, 3, true, false, RP_HOST_REPORT_CHANGED, true},
+        {3000, "i-1", NULL, 100, 0, false, true, RP_HOST_REPORT_UNCHANGED,
+         false},
+        {3100, "i-1", NULL, 100, 4, false, false, RP_HOST_REPORT_STALE,
+         false});
     RUN_EVENTS(
         "late and repeated reports are stale",
-        {0, "i-1", NULL, 100, 5, false, false, RP_HOST_NEWS_STARTED, true},
-        {10, "i-1", NULL, 100, 5, true, false, RP_HOST_NEWS_STALE, true},
-        {20, "i-1", NULL, 100, 4, true, false, RP_HOST_NEWS_STALE, true},
-        {30, "i-1", NULL, 100, 6, true, false, RP_HOST_NEWS_CHANGED, true},
-        {40, "i-1", NULL, 100, 5, false, false, RP_HOST_NEWS_STALE, true});
+        {0, "i-1", NULL, 100, 5, false, false, RP_HOST_REPORT_NEW_RUN, true},
+        {10, "i-1", NULL, 100, 5, true, false, RP_HOST_REPORT_STALE, true},
+        {20, "i-1", NULL, 100, 4, true, false, RP_HOST_REPORT_STALE, true},
+        {30, "i-1", NULL, 100, 6, true, false, RP_HOST_REPORT_CHANGED, true},
+        {40, "i-1", NULL, 100, 5, false, false, RP_HOST_REPORT_STALE, true});
     RUN_EVENTS(
         "reports of another service's host are ignored",
-        {0, "i-9", "photo-shelf", 100, 1, false, false, RP_HOST_NEWS_FOREIGN,
+        {0, "i-9", "photo-shelf", 100, 1, false, false, RP_HOST_REPORT_FOREIGN,
          false},
-        {10, "i-1", NULL, 90, 1, false, false, RP_HOST_NEWS_STARTED, true},
-        {20, "i-9", "photo-shelf", 200, 9, true, false, RP_HOST_NEWS_FOREIGN,
+        {10, "i-1", NULL, 90, 1, false, false, RP_HOST_REPORT_NEW_RUN, true},
+        {20, "i-9", "photo-shelf", 200, 9, true, false, RP_HOST_REPORT_FOREIGN,
          true},
-        {30, "i-9", NULL, 90, 9, false, true, RP_HOST_NEWS_SAME, true});
+        {30, "i-9", NULL, 90, 9, false, true, RP_HOST_REPORT_UNCHANGED, true});
     RUN_EVENTS(
         "a new run with a new id",
-        {0, "i-1", NULL, 100, 8, false, false, RP_HOST_NEWS_STARTED, true},
-        {900, "i-2", NULL, 200, 1, false, false, RP_HOST_NEWS_STARTED, true},
-        {950, "i-1", NULL, 100, 9, true, false, RP_HOST_NEWS_STALE, true});
+        {0, "i-1", NULL, 100, 8, false, false, RP_HOST_REPORT_NEW_RUN, true},
+        {900, "i-2", NULL, 200, 1, false, false, RP_HOST_REPORT_NEW_RUN, true},
+        {950, "i-1", NULL, 100, 9, true, false, RP_HOST_REPORT_STALE, true});
     RUN_EVENTS(
         "a new run with the same id restarts the sequence numbers",
-        {0, "i-1", NULL, 100, 8, false, false, RP_HOST_NEWS_STARTED, true},
-        {900, "i-1", NULL, 200, 1, false, false, RP_HOST_NEWS_STARTED, true},
-        {950, "i-1", NULL, 100, 9, true, false, RP_HOST_NEWS_STALE, true},
-        {990, "i-1", NULL, 200, 2, false, false, RP_HOST_NEWS_SAME, true});
+        {0, "i-1", NULL, 100, 8, false, false, RP_HOST_REPORT_NEW_RUN, true},
+        {900, "i-1", NULL, 200, 1, false, false, RP_HOST_REPORT_NEW_RUN, true},
+        {950, "i-1", NULL, 100, 9, true, false, RP_HOST_REPORT_STALE, true},
+        {990, "i-1", NULL, 200, 2, false, false, RP_HOST_REPORT_UNCHANGED,
+         true});
     RUN_EVENTS(
         "the same run reports again after a timeout",
-        {0, "i-1", NULL, 100, 1, false, false, RP_HOST_NEWS_STARTED, true},
-        {9000, "i-1", NULL, 100, 2, false, false, RP_HOST_NEWS_SAME, true});
+        {0, "i-1", NULL, 100, 1, false, false, RP_HOST_REPORT_NEW_RUN, true},
+        {9000, "i-1", NULL, 100, 2, false, false, RP_HOST_REPORT_UNCHANGED,
+         true});
     RUN_EVENTS(
         "a run with an earlier start time, after the wall clock was set back, "
         "is accepted only once the previous run has timed out",
-        {0, "i-1", NULL, 100, 1, false, false, RP_HOST_NEWS_STARTED, true},
-        {500, "i-2", NULL, 50, 1, false, false, RP_HOST_NEWS_STALE, true},
-        {3700, "i-2", NULL, 50, 2, false, false, RP_HOST_NEWS_STARTED, true});
+        {0, "i-1", NULL, 100, 1, false, false, RP_HOST_REPORT_NEW_RUN, true},
+        {500, "i-2", NULL, 50, 1, false, false, RP_HOST_REPORT_STALE, true},
+        {3700, "i-2", NULL, 50, 2, false, false, RP_HOST_REPORT_NEW_RUN,
+         true});
     RUN_EVENTS(
         "a new run is accepted after a goodbye",
-        {0, "i-1", NULL, 100, 1, false, false, RP_HOST_NEWS_STARTED, true},
-        {10, "i-1", NULL, 100, 0, false, true, RP_HOST_NEWS_SAME, false},
-        {20, "i-2", NULL, 300, 1, false, false, RP_HOST_NEWS_STARTED, true});
+        {0, "i-1", NULL, 100, 1, false, false, RP_HOST_REPORT_NEW_RUN, true},
+        {10, "i-1", NULL, 100, 0, false, true, RP_HOST_REPORT_UNCHANGED,
+         false},
+        {20, "i-2", NULL, 300, 1, false, false, RP_HOST_REPORT_NEW_RUN, true});
 }
 
 static void
@@ -137,11 +145,11 @@
 
     (void)state;
     RpHost_Init(&host, &service, INTERVAL_US);
-    assert_false(RpHost_IsHeard(&host, 0));
-    RpHost_Report(&host, 0, &report);
-    assert_int_equal(RpHost_SilenceDeadline(&host), 3 * INTERVAL_US);
-    assert_true(RpHost_IsHeard(&host, 3 * INTERVAL_US - 1));
-    assert_false(RpHost_IsHeard(&host, 3 * INTERVAL_US));
+    assert_false(RpHost_IsAlive(&host, 0));
+    RpHost_HandleReport(&host, 0, &report);
+    assert_int_equal(RpHost_TimeoutDeadline(&host), 3 * INTERVAL_US);
+    assert_true(RpHost_IsAlive(&host, 3 * INTERVAL_US - 1));
+    assert_false(RpHost_IsAlive(&host, 3 * INTERVAL_US));
 }
 
 /* Report bodies, and the findings that each must produce, in order. */
