--- a/lib/flow/rp_agent.c
+++ b/lib/flow/rp_agent.c
@@ -19,8 +19,8 @@
     if (!agent->config.codec) {
         agent->config.codec = &rp_codec_ipv4;
     }
-    if (agent->config.patience == 0) {
-        agent->config.patience = RP_SYN_PATIENCE_US;
+    if (agent->config.host_answer_timeout == 0) {
+        agent->config.host_answer_timeout = RP_HOST_ANSWER_TIMEOUT_US;
     }
     agent->lost_flows = g_array_new(FALSE, FALSE, sizeof(struct rp_flow_key));
     agent->chart = chart;
@@ -33,7 +33,7 @@
         RpAgent_Free(agent);
         return NULL;
     }
-    agent->retry_budget_cents = RP_RETRY_BURST_CENTS;
+    agent->retry_budget_cents = RP_RETRY_BUDGET_MAX_CENTS;
     return agent;
 }
 
@@ -83,7 +83,7 @@
 }
 
 void
-RpAgent_SetKnowsAll(struct rp_agent *agent)
+RpAgent_SetKnowsAllFlows(struct rp_agent *agent)
 {
     agent->knows_all_flows = true;
 }
@@ -94,11 +94,11 @@
     agent->knows_all_flows = true;
     g_array_set_size(agent->lost_flows, 0);
     RpFlowTable_Collect(agent->flows, RP_FLOW_OWNED, agent->lost_flows);
-    RpHealth_Answered(&agent->health, now);
+    RpHealth_RecordSuccess(&agent->health, now);
 }
 
 void
-RpAgent_Begin(struct rp_agent *agent, struct rp_actions *actions)
+RpAgent_BeginCall(struct rp_agent *agent, struct rp_actions *actions)
 {
     actions->count = 0;
     actions->begins_request = false;
@@ -107,8 +107,8 @@
     agent->action_packet = NULL;
 }
 
-const struct rp_held *
-RpAgent_TakeHeld(struct rp_agent *agent, const struct rp_flow *flow)
+const struct rp_held_packet *
+RpAgent_TakeHeldPacket(struct rp_agent *agent, const struct rp_flow *flow)
 {
     assert(!agent->action_packet);
     agent->action_packet = RpHold_Take(agent->hold, flow->caller);
@@ -116,8 +116,8 @@
 }
 
 struct rp_action *
-RpAgent_Act(struct rp_agent *agent, struct rp_actions *actions,
-            enum rp_action_kind kind, enum rp_counter reason)
+RpAgent_AddAction(struct rp_agent *agent, struct rp_actions *actions,
+                  enum rp_action_kind kind, enum rp_counter reason)
 {
     assert(actions->count < RP_MAX_ACTIONS);
     struct rp_action *action = &actions->item[actions->count++];
@@ -127,27 +127,27 @@
 }
 
 void
-RpAgent_Send(struct rp_agent *agent, struct rp_actions *actions,
-             enum rp_action_kind kind, enum rp_counter reason,
-             const uint8_t *data, size_t len)
+RpAgent_AddSendAction(struct rp_agent *agent, struct rp_actions *actions,
+                      enum rp_action_kind kind, enum rp_counter reason,
+                      const uint8_t *data, size_t len)
 {
-    struct rp_action *action = RpAgent_Act(agent, actions, kind, reason);
+    struct rp_action *action = RpAgent_AddAction(agent, actions, kind, reason);
 
     action->data = data;
     action->len = len;
 }
 
 void
-RpAgent_SendSegment(struct rp_agent *agent, struct rp_actions *actions,
-                    enum rp_action_kind kind, enum rp_counter reason,
-                    struct rp_flow_key key, uint8_t flags, uint32_t seq,
-                    uint32_t ack)
+RpAgent_AddSegmentAction(struct rp_agent *agent, struct rp_actions *actions,
+                         enum rp_action_kind kind, enum rp_counter reason,
+                         struct rp_flow_key key, uint8_t flags, uint32_t seq,
+                         uint32_t ack)
 {
     uint8_t *scratch = actions->scratch[actions->count];
     size_t len = agent->config.codec->ops->make_segment(key, flags, seq, ack,
                                                         scratch);
 
-    RpAgent_Send(agent, actions, kind, reason, scratch, len);
+    RpAgent_AddSendAction(agent, actions, kind, reason, scratch, len);
 }
 
 void
@@ -157,24 +157,25 @@
     uint8_t *scratch = actions->scratch[actions->count];
     size_t len = agent->config.codec->ops->make_reset(packet, scratch);
 
-    RpAgent_Send(agent, actions, RP_ACTION_TO_CALLER, reason, scratch, len);
+    RpAgent_AddSendAction(agent, actions, RP_ACTION_TO_CALLER, reason, scratch,
+                          len);
 }
 
 void
-RpAgent_ResetLost(struct rp_agent *agent, int64_t now, struct rp_flow *flow,
-                  struct rp_actions *actions)
+RpAgent_ResetLostFlow(struct rp_agent *agent, int64_t now,
+                      struct rp_flow *flow, struct rp_actions *actions)
 {
     const struct rp_packet last = {.key = flow->caller,
                                    .flags = RP_TCP_ACK,
                                    .seq = flow->caller_next,
                                    .ack = flow->caller_acked};
 
-    RpAgent_Enter(agent, flow, RP_FLOW_CLOSED, now);
+    RpAgent_EnterState(agent, flow, RP_FLOW_CLOSED, now);
     RpAgent_ResetCaller(agent, actions, RP_COUNT_RESET_HOST_LOST, &last);
 }
 
 /* Enters the state `next` if it differs from the current one. A flow that
- * leaves RP_FLOW_OPENING no longer needs the copy of its SYN. */
+ * leaves RP_FLOW_SYN_SENT no longer needs the copy of its SYN. */
 static void
 change_state(struct rp_agent *agent, struct rp_flow *flow, uint8_t next,
              int64_t now)
@@ -182,10 +183,10 @@
     if (flow->state == next) {
         return;
     }
-    if (flow->state == RP_FLOW_OPENING) {
+    if (flow->state == RP_FLOW_SYN_SENT) {
         RpHold_Drop(agent->hold, flow->caller);
     }
-    RpAgent_Enter(agent, flow, next, now);
+    RpAgent_EnterState(agent, flow, next, now);
 }
 
 /* Sends a caller's packet to the host, unless the gate queues it. A SYN is
@@ -199,7 +200,7 @@
 
     actions->begins_request = RpAgent_TrackCaller(agent, flow, packet, now);
     if (!(packet->flags & (RP_TCP_RST | RP_TCP_SYN)) &&
-        RpAgent_GateHolds(agent, now, flow, packet)) {
+        RpAgent_GateDefersPacket(agent, now, flow, packet)) {
         return;
     }
     if ((packet->flags & RP_TCP_SYN) && packet->payload_len > 0) {
@@ -208,8 +209,8 @@
         data = scratch;
         RpCounters_Add(agent->counters, RP_COUNT_SYN_TRIMMED);
     }
-    RpAgent_Send(agent, actions, RP_ACTION_TO_HOST, RP_COUNT_PACKETS_OUT, data,
-                 len);
+    RpAgent_AddSendAction(agent, actions, RP_ACTION_TO_HOST,
+                          RP_COUNT_PACKETS_OUT, data, len);
 }
 
 /* Looks up a caller's packet in the flow chart and performs the action. */
@@ -227,32 +228,33 @@
     case RP_FLOW_DO_TO_HOST:
         forward_to_host(agent, now, flow, packet, actions);
         break;
-    case RP_FLOW_DO_TO_HOST_AND_PASS:
+    case RP_FLOW_DO_TO_HOST_AND_NEXT_AGENT:
         /* In formats where the host returns packets of unknown flows, it
          * does not need to see a reset of a flow that another agent is known
          * to own. */
-        if (RpAgent_CanForge(agent) || flow->state != RP_FLOW_REDIRECT) {
+        if (RpAgent_CanMakeSegments(agent) ||
+            flow->state != RP_FLOW_REDIRECTED) {
             forward_to_host(agent, now, flow, packet, actions);
         }
-        RpAgent_Pass(agent, now, flow, packet, chain, actions);
+        RpAgent_ForwardToNextAgent(agent, now, flow, packet, chain, actions);
         break;
-    case RP_FLOW_DO_PASS:
-        RpAgent_Pass(agent, now, flow, packet, chain, actions);
+    case RP_FLOW_DO_TO_NEXT_AGENT:
+        RpAgent_ForwardToNextAgent(agent, now, flow, packet, chain, actions);
         break;
-    case RP_FLOW_DO_DECIDE:
-        RpAgent_Decide(agent, now, flow, packet, chain, actions);
+    case RP_FLOW_DO_DECIDE_ADMISSION:
+        RpAgent_DecideAdmission(agent, now, flow, packet, chain, actions);
         break;
-    case RP_FLOW_DO_RENEW:
-        RpAgent_Renew(agent, now, flow, packet, chain, actions);
+    case RP_FLOW_DO_RESTART_FLOW:
+        RpAgent_RestartFlow(agent, now, flow, packet, chain, actions);
         break;
-    case RP_FLOW_DO_ASK:
-        RpAgent_AskAgain(agent, now, flow, packet, chain, actions);
+    case RP_FLOW_DO_QUERY_HOST:
+        RpAgent_QueryHostForFlow(agent, now, flow, packet, chain, actions);
         break;
-    case RP_FLOW_DO_YIELD:
-        RpAgent_Yield(agent, now, flow, packet, chain, actions);
+    case RP_FLOW_DO_YIELD_TO_NEXT_AGENT:
+        RpAgent_YieldToNextAgent(agent, now, flow, packet, chain, actions);
         break;
     default:
-        RpAgent_Act(agent, actions, RP_ACTION_DROP, RP_COUNT_DROP_LATE);
+        RpAgent_AddAction(agent, actions, RP_ACTION_DROP, RP_COUNT_DROP_LATE);
     }
 }
 
@@ -289,14 +291,15 @@
 {
     struct rp_flow_key caller = packet->key;
 
-    RpAgent_Begin(agent, actions);
+    RpAgent_BeginCall(agent, actions);
     if (!agent->service) {
-        RpAgent_Act(agent, actions, RP_ACTION_DROP, RP_COUNT_DROP_NO_TABLE);
+        RpAgent_AddAction(agent, actions, RP_ACTION_DROP,
+                          RP_COUNT_DROP_NO_TABLE);
         return;
     }
     if (!is_for_own_service(agent, packet, geneve)) {
-        RpAgent_Act(agent, actions, RP_ACTION_DROP,
-                    RP_COUNT_DROP_WRONG_SERVICE);
+        RpAgent_AddAction(agent, actions, RP_ACTION_DROP,
+                          RP_COUNT_DROP_WRONG_SERVICE);
         return;
     }
     struct rp_flow *flow = RpFlowTable_Find(agent->flows, caller);
@@ -305,18 +308,21 @@
                              actions);
     }
     else if (RpPacket_Opens(packet)) {
-        RpAgent_Decide(agent, now, NULL, packet, &geneve->chain, actions);
+        RpAgent_DecideAdmission(agent, now, NULL, packet, &geneve->chain,
+                                actions);
     }
     else if (agent->knows_all_flows) {
-        RpAgent_Pass(agent, now, NULL, packet, &geneve->chain, actions);
+        RpAgent_ForwardToNextAgent(agent, now, NULL, packet, &geneve->chain,
+                                   actions);
     }
     else if (packet->flags & RP_TCP_RST) {
-        RpAgent_Send(agent, actions, RP_ACTION_TO_HOST, RP_COUNT_PACKETS_OUT,
-                     packet->data, packet->len);
-        RpAgent_Pass(agent, now, NULL, packet, &geneve->chain, actions);
+        RpAgent_AddSendAction(agent, actions, RP_ACTION_TO_HOST,
+                              RP_COUNT_PACKETS_OUT, packet->data, packet->len);
+        RpAgent_ForwardToNextAgent(agent, now, NULL, packet, &geneve->chain,
+                                   actions);
     }
     else {
-        RpAgent_Ask(agent, now, packet, &geneve->chain, actions);
+        RpAgent_QueryHost(agent, now, packet, &geneve->chain, actions);
     }
 }
 
@@ -329,8 +335,8 @@
                              (flow->flags & RP_FLOW_AWAITED);
     actions->answer_us = now - flow->request_since;
     RpAgent_TrackHost(agent, flow, packet, now);
-    RpAgent_Send(agent, actions, RP_ACTION_TO_CALLER, RP_COUNT_PACKETS_OUT,
-                 packet->data, packet->len);
+    RpAgent_AddSendAction(agent, actions, RP_ACTION_TO_CALLER,
+                          RP_COUNT_PACKETS_OUT, packet->data, packet->len);
 }
 
 /* Looks up a host's packet in the flow chart and performs the action. */
@@ -341,50 +347,53 @@
     static const struct rp_chain no_chain = {.best_share = RP_CHAIN_NO_SHARE};
     enum rp_flow_event event = RpAgent_ClassifyHost(packet);
 
-    if (event == RP_FLOW_EV_HRST && RpAgent_IsForeignReset(flow, packet)) {
-        RpAgent_Act(agent, actions, RP_ACTION_DROP, RP_COUNT_DROP_HOST_STRAY);
+    if (event == RP_FLOW_EV_HOST_RST && RpAgent_IsForeignReset(flow, packet)) {
+        RpAgent_AddAction(agent, actions, RP_ACTION_DROP,
+                          RP_COUNT_DROP_HOST_STRAY);
         return;
     }
-    if (flow->state == RP_FLOW_REDIRECT && (flow->flags & RP_FLOW_UNSURE) &&
-        event != RP_FLOW_EV_HRST && event != RP_FLOW_EV_HBACK) {
+    if (flow->state == RP_FLOW_REDIRECTED && (flow->flags & RP_FLOW_UNSURE) &&
+        event != RP_FLOW_EV_HOST_RST && event != RP_FLOW_EV_HOST_RETURNED) {
         /* This agent may have lost the entry of a flow that its host serves.
          * A packet from the host proves ownership, so it overrides the
          * redirect. */
-        change_state(agent, flow, RP_FLOW_ASKING, now);
+        change_state(agent, flow, RP_FLOW_QUERYING_HOST, now);
     }
     struct rp_chart_step step = RpChart_Step(agent->chart, flow->state, event);
     switch ((enum rp_flow_action)step.action) {
     case RP_FLOW_DO_TO_CALLER:
-        if (flow->state == RP_FLOW_OPENING) {
-            RpHealth_Answered(&agent->health, now);
+        if (flow->state == RP_FLOW_SYN_SENT) {
+            RpHealth_RecordSuccess(&agent->health, now);
             RpCounters_Time(agent->counters, RP_HISTOGRAM_SYN_ANSWER,
                             now - flow->host_seen);
         }
         change_state(agent, flow, step.next, now);
         forward_to_caller(agent, now, flow, packet, actions);
         break;
-    case RP_FLOW_DO_ADOPT:
-        RpAgent_Adopt(agent, flow, step.next, now);
+    case RP_FLOW_DO_TAKE_OWNERSHIP:
+        RpAgent_TakeOwnership(agent, flow, step.next, now);
         forward_to_caller(agent, now, flow, packet, actions);
         break;
-    case RP_FLOW_DO_RELEASE:
-        RpAgent_Release(agent, now, flow, actions);
+    case RP_FLOW_DO_RELEASE_TO_NEXT_AGENT:
+        RpAgent_ReleaseToNextAgent(agent, now, flow, actions);
         break;
-    case RP_FLOW_DO_RETRY:
-        RpHealth_Failed(&agent->health, now);
-        RpAgent_Retry(agent, now, flow, packet, actions);
+    case RP_FLOW_DO_RETRY_SYN:
+        RpHealth_RecordFailure(&agent->health, now);
+        RpAgent_RetrySyn(agent, now, flow, packet, actions);
         break;
-    case RP_FLOW_DO_RESET:
-        RpAgent_ResetLost(agent, now, flow, actions);
+    case RP_FLOW_DO_RESET_CALLER:
+        RpAgent_ResetLostFlow(agent, now, flow, actions);
         break;
-    case RP_FLOW_DO_PASS:
-        RpAgent_Pass(agent, now, flow, packet, &no_chain, actions);
+    case RP_FLOW_DO_TO_NEXT_AGENT:
+        RpAgent_ForwardToNextAgent(agent, now, flow, packet, &no_chain,
+                                   actions);
         break;
-    case RP_FLOW_DO_QUASH:
-        RpAgent_Quash(agent, flow, packet, actions);
+    case RP_FLOW_DO_RESET_HOST:
+        RpAgent_ResetHost(agent, flow, packet, actions);
         break;
     default:
-        RpAgent_Act(agent, actions, RP_ACTION_DROP, RP_COUNT_DROP_HOST_STRAY);
+        RpAgent_AddAction(agent, actions, RP_ACTION_DROP,
+                          RP_COUNT_DROP_HOST_STRAY);
     }
 }
 
@@ -395,11 +404,12 @@
                       struct rp_actions *actions)
 {
     if (packet->returned) {
-        RpAgent_Act(agent, actions, RP_ACTION_DROP, RP_COUNT_DROP_NO_TABLE);
+        RpAgent_AddAction(agent, actions, RP_ACTION_DROP,
+                          RP_COUNT_DROP_NO_TABLE);
         return;
     }
-    RpAgent_Send(agent, actions, RP_ACTION_TO_CALLER, RP_COUNT_PACKETS_OUT,
-                 packet->data, packet->len);
+    RpAgent_AddSendAction(agent, actions, RP_ACTION_TO_CALLER,
+                          RP_COUNT_PACKETS_OUT, packet->data, packet->len);
 }
 
 void
@@ -410,14 +420,15 @@
                                     ? packet->key
                                     : RpFlowKey_Reverse(packet->key);
 
-    RpAgent_Begin(agent, actions);
+    RpAgent_BeginCall(agent, actions);
     if (packet->returned) {
         RpCounters_Add(agent->counters, RP_COUNT_HOST_GAVE_BACK);
     }
     if (packet->returned && (packet->flags & RP_TCP_RST)) {
         /* The agent already forwarded this reset to the next agent when it
          * sent it to the host. Forwarding it again would create a loop. */
-        RpAgent_Act(agent, actions, RP_ACTION_DROP, RP_COUNT_DROP_HOST_STRAY);
+        RpAgent_AddAction(agent, actions, RP_ACTION_DROP,
+                          RP_COUNT_DROP_HOST_STRAY);
         return;
     }
     if (!agent->service) {
@@ -425,8 +436,8 @@
         return;
     }
     if (!is_service_address(agent->service, RpFlowKey_Target(caller))) {
-        RpAgent_Act(agent, actions, RP_ACTION_DROP,
-                    RP_COUNT_DROP_WRONG_SERVICE);
+        RpAgent_AddAction(agent, actions, RP_ACTION_DROP,
+                          RP_COUNT_DROP_WRONG_SERVICE);
         return;
     }
     struct rp_flow *flow = RpFlowTable_Find(agent->flows, caller);
@@ -434,7 +445,7 @@
         handle_host_packet(agent, now, flow, packet, actions);
     }
     else {
-        RpAgent_AdoptFromHost(agent, now, packet, actions);
+        RpAgent_LearnFlowFromHost(agent, now, packet, actions);
     }
 }
 
@@ -489,7 +500,7 @@
 }
 
 size_t
-RpAgent_Bytes(const struct rp_agent *agent)
+RpAgent_TableBytes(const struct rp_agent *agent)
 {
     return RpFlowTable_Bytes(agent->flows);
 }
--- a/lib/flow/rp_agent.h
+++ b/lib/flow/rp_agent.h
@@ -34,7 +34,7 @@
     RP_ACTION_DROP,
     RP_ACTION_TO_HOST,
     RP_ACTION_TO_CALLER,
-    RP_ACTION_PASS /* to the agent at `next` */
+    RP_ACTION_TO_NEXT_AGENT /* to the agent at `next` */
 };
 
 /* One action. `data` is borrowed: it points into the packet that was passed
@@ -72,8 +72,8 @@
     /* The format of packets; NULL means IPv4 with TCP. */
     const struct rp_codec *codec;
     /* Microseconds that the host has to answer a SYN, or the packet of a flow
-     * about which it is queried; 0 means RP_SYN_PATIENCE_US. */
-    int64_t patience;
+     * about which it is queried; 0 means RP_HOST_ANSWER_TIMEOUT_US. */
+    int64_t host_answer_timeout;
     struct rp_endpoint self; /* this agent's address in chains */
     int64_t started;         /* when the agent started */
     uint32_t slots;          /* requests the host serves at once */
@@ -123,11 +123,11 @@
 /* Tells the agent that it has run since before its host started. It then
  * knows every flow of the host, and forwards packets of unknown flows without
  * querying the host. */
-void RpAgent_SetKnowsAll(struct rp_agent *agent);
+void RpAgent_SetKnowsAllFlows(struct rp_agent *agent);
 
 /* Tells the agent that the host has restarted and lost all flows. The next
  * calls of RpAgent_OnTimer reset their callers. Implies
- * RpAgent_SetKnowsAll. */
+ * RpAgent_SetKnowsAllFlows. */
 void RpAgent_HostRestarted(struct rp_agent *agent, int64_t now);
 
 /* Returns the time at which RpAgent_OnTimer must be called next; 0 means at
@@ -162,6 +162,6 @@
                           struct rp_flow_key flow);
 
 /* Returns the memory that the flow table uses, in bytes. */
-size_t RpAgent_Bytes(const struct rp_agent *agent);
+size_t RpAgent_TableBytes(const struct rp_agent *agent);
 
 #endif
--- a/lib/flow/rp_agent_chain.c
+++ b/lib/flow/rp_agent_chain.c
@@ -79,9 +79,10 @@
 }
 
 bool
-RpAgent_NextHopPrefer(const struct rp_agent *agent, struct rp_chain *chain,
-                      struct rp_flow_key caller, bool is_new_flow,
-                      struct rp_endpoint preferred, struct rp_endpoint *next)
+RpAgent_PreferredNextHop(const struct rp_agent *agent, struct rp_chain *chain,
+                         struct rp_flow_key caller, bool is_new_flow,
+                         struct rp_endpoint preferred,
+                         struct rp_endpoint *next)
 {
     size_t index = 0;
 
--- a/lib/flow/rp_agent_classify.c
+++ b/lib/flow/rp_agent_classify.c
@@ -20,7 +20,7 @@
 static bool
 acks_other_host(const struct rp_flow *flow, const struct rp_packet *packet)
 {
-    if (flow->state != RP_FLOW_ANSWERED ||
+    if (flow->state != RP_FLOW_SYN_ANSWERED ||
         !(flow->flags & RP_FLOW_KNOWS_HOST_ISN) ||
         !(packet->flags & RP_TCP_ACK)) {
         return false;
@@ -34,13 +34,14 @@
              bool forced)
 {
     if (!(flow->flags & RP_FLOW_KNOWS_CALLER_ISN)) {
-        return RP_FLOW_EV_REUSE;
+        return RP_FLOW_EV_NEW_SYN;
     }
     if (packet->seq == flow->caller_isn) {
-        bool was_sent_back = forced && flow->state == RP_FLOW_REDIRECT;
-        return was_sent_back ? RP_FLOW_EV_BACK : RP_FLOW_EV_SYN;
+        bool was_sent_back = forced && flow->state == RP_FLOW_REDIRECTED;
+        return was_sent_back ? RP_FLOW_EV_SYN_SENT_BACK
+                             : RP_FLOW_EV_REPEATED_SYN;
     }
-    return is_late(flow, packet) ? RP_FLOW_EV_LATE : RP_FLOW_EV_REUSE;
+    return is_late(flow, packet) ? RP_FLOW_EV_LATE : RP_FLOW_EV_NEW_SYN;
 }
 
 enum rp_flow_event
@@ -54,13 +55,13 @@
         return RP_FLOW_EV_LATE;
     }
     if (acks_other_host(flow, packet)) {
-        return RP_FLOW_EV_ALIEN;
+        return RP_FLOW_EV_FOREIGN_ACK;
     }
     if (packet->flags & RP_TCP_RST) {
         return RP_FLOW_EV_RST;
     }
-    if (flow->state == RP_FLOW_REDIRECT && (flow->flags & RP_FLOW_UNSURE)) {
-        return RP_FLOW_EV_UNSURE;
+    if (flow->state == RP_FLOW_REDIRECTED && (flow->flags & RP_FLOW_UNSURE)) {
+        return RP_FLOW_EV_MAYBE_OWNED;
     }
     return packet->flags & RP_TCP_FIN ? RP_FLOW_EV_FIN : RP_FLOW_EV_DATA;
 }
@@ -69,22 +70,23 @@
 RpAgent_ClassifyHost(const struct rp_packet *packet)
 {
     if (packet->returned) {
-        return RP_FLOW_EV_HBACK;
+        return RP_FLOW_EV_HOST_RETURNED;
     }
     if (packet->flags & RP_TCP_RST) {
-        return RP_FLOW_EV_HRST;
+        return RP_FLOW_EV_HOST_RST;
     }
     if (packet->flags & RP_TCP_SYN) {
-        return RP_FLOW_EV_SYNACK;
+        return RP_FLOW_EV_HOST_SYNACK;
     }
-    return packet->flags & RP_TCP_FIN ? RP_FLOW_EV_HFIN : RP_FLOW_EV_HDATA;
+    return packet->flags & RP_TCP_FIN ? RP_FLOW_EV_HOST_FIN
+                                      : RP_FLOW_EV_HOST_DATA;
 }
 
 bool
 RpAgent_IsForeignReset(const struct rp_flow *flow,
                        const struct rp_packet *packet)
 {
-    if (flow->state == RP_FLOW_OPENING) {
+    if (flow->state == RP_FLOW_SYN_SENT) {
         return !(packet->flags & RP_TCP_ACK); /* a refusal has ACK set */
     }
     if (!(flow->flags & RP_FLOW_KNOWS_HOST_ISN) ||
--- a/lib/flow/rp_agent_flow.c
+++ b/lib/flow/rp_agent_flow.c
@@ -14,7 +14,7 @@
         agent->busy_flows++;
     }
     if (!busy) {
-        RpAgent_GateLeave(agent, flow);
+        RpAgent_GateEndRequest(agent, flow);
     }
     if (!busy && was_busy) {
         flow->flags &= (uint16_t) ~(RP_FLOW_BUSY | RP_FLOW_RESERVED);
@@ -44,15 +44,15 @@
 state_deadline(const struct rp_agent *agent, uint8_t state, int64_t now)
 {
     switch (state) {
-    case RP_FLOW_OPENING:
-    case RP_FLOW_ASKING:
-        return now + agent->config.patience;
-    case RP_FLOW_ANSWERED:
-        return now + RP_CONFIRM_PATIENCE_US;
-    case RP_FLOW_REDIRECT:
-        return now + RP_REDIRECT_LINGER_US;
+    case RP_FLOW_SYN_SENT:
+    case RP_FLOW_QUERYING_HOST:
+        return now + agent->config.host_answer_timeout;
+    case RP_FLOW_SYN_ANSWERED:
+        return now + RP_HANDSHAKE_TIMEOUT_US;
+    case RP_FLOW_REDIRECTED:
+        return now + RP_REDIRECT_TIMEOUT_US;
     case RP_FLOW_CLOSED:
-        return now + RP_CLOSED_LINGER_US;
+        return now + RP_CLOSED_FLOW_TIMEOUT_US;
     default:
         return now + agent->service->silence_ms * RP_US_PER_MS;
     }
@@ -70,30 +70,31 @@
 }
 
 void
-RpAgent_Reserve(struct rp_agent *agent, struct rp_flow *flow, int64_t now)
+RpAgent_ReserveSlot(struct rp_agent *agent, struct rp_flow *flow, int64_t now)
 {
     RpAgent_SetBusy(agent, flow, true);
     flow->flags |= RP_FLOW_RESERVED;
-    append_timer(&agent->reservations, flow->caller, now + RP_RESERVE_US);
+    append_timer(&agent->reservations, flow->caller,
+                 now + RP_RESERVATION_TIMEOUT_US);
 }
 
 /* Whether this agent counts as the owner of a flow in `state`. */
 static bool
 is_owner_state(uint8_t state)
 {
-    return state != RP_FLOW_CLOSED && state != RP_FLOW_REDIRECT &&
-           state != RP_FLOW_ASKING;
+    return state != RP_FLOW_CLOSED && state != RP_FLOW_REDIRECTED &&
+           state != RP_FLOW_QUERYING_HOST;
 }
 
 bool
 RpAgent_HasShortTimer(uint8_t state)
 {
-    return state == RP_FLOW_OPENING || state == RP_FLOW_ASKING;
+    return state == RP_FLOW_SYN_SENT || state == RP_FLOW_QUERYING_HOST;
 }
 
 void
-RpAgent_Enter(struct rp_agent *agent, struct rp_flow *flow, uint8_t state,
-              int64_t now)
+RpAgent_EnterState(struct rp_agent *agent, struct rp_flow *flow, uint8_t state,
+                   int64_t now)
 {
     if (state == RP_FLOW_CLOSED && (flow->flags & RP_FLOW_OWNED)) {
         RpCounters_Add(agent->counters, RP_COUNT_FLOW_CLOSED);
@@ -110,7 +111,7 @@
 }
 
 void
-RpAgent_Forget(struct rp_agent *agent, struct rp_flow *flow)
+RpAgent_RemoveFlow(struct rp_agent *agent, struct rp_flow *flow)
 {
     RpHold_Drop(agent->hold, flow->caller);
     RpAgent_SetBusy(agent, flow, false);
@@ -212,7 +213,7 @@
     /* A sender sets PSH on the last segment of an answer. */
     bool ends_answer = packet->flags & (RP_TCP_PSH | RP_TCP_FIN);
     if (ends_answer && (packet->payload_len || (packet->flags & RP_TCP_FIN))) {
-        RpAgent_GateLearn(flow, now);
+        RpAgent_GateRecordAnswer(flow, now);
         RpAgent_SetBusy(agent, flow, false);
     }
 }
--- a/lib/flow/rp_agent_gate.c
+++ b/lib/flow/rp_agent_gate.c
@@ -47,10 +47,10 @@
     RpGate_SetSlots(agent->gate, slots, slots * percent / ALL_PERCENT);
 }
 
-static struct rp_held *
+static struct rp_held_packet *
 copy_packet(const struct rp_packet *packet)
 {
-    struct rp_held *copy = g_malloc0(sizeof *copy + packet->len);
+    struct rp_held_packet *copy = g_malloc0(sizeof *copy + packet->len);
 
     copy->len = packet->len;
     memcpy(copy->data, packet->data, packet->len);
@@ -99,7 +99,7 @@
 {
     GQueue *packets = g_hash_table_lookup(agent->queued_packets,
                                           &flow->caller);
-    struct rp_held *packet;
+    struct rp_held_packet *packet;
 
     while (packets && (packet = g_queue_pop_head(packets)) != NULL) {
         agent->queued_bytes -= packet->len;
@@ -109,8 +109,8 @@
 }
 
 bool
-RpAgent_GateHolds(struct rp_agent *agent, int64_t now, struct rp_flow *flow,
-                  const struct rp_packet *packet)
+RpAgent_GateDefersPacket(struct rp_agent *agent, int64_t now,
+                         struct rp_flow *flow, const struct rp_packet *packet)
 {
     bool is_long = flow->flags & RP_FLOW_LONG;
 
@@ -141,7 +141,7 @@
 }
 
 void
-RpAgent_GateLeave(struct rp_agent *agent, struct rp_flow *flow)
+RpAgent_GateEndRequest(struct rp_agent *agent, struct rp_flow *flow)
 {
     if (flow->flags & RP_FLOW_INSIDE) {
         RpGate_Leave(agent->gate, flow->flags & RP_FLOW_INSIDE_LONG);
@@ -155,13 +155,13 @@
 }
 
 void
-RpAgent_GateLearn(struct rp_flow *flow, int64_t now)
+RpAgent_GateRecordAnswer(struct rp_flow *flow, int64_t now)
 {
     if (!(flow->flags & RP_FLOW_INSIDE)) {
         return;
     }
     flow->flags &= (uint16_t)~RP_FLOW_LONG;
-    if (now - flow->request_since >= RP_LONG_AFTER_US) {
+    if (now - flow->request_since >= RP_LONG_REQUEST_US) {
         flow->flags |= RP_FLOW_LONG;
     }
 }
@@ -187,8 +187,8 @@
 }
 
 bool
-RpAgent_GatePump(struct rp_agent *agent, int64_t now,
-                 struct rp_actions *actions)
+RpAgent_GateSendNext(struct rp_agent *agent, int64_t now,
+                     struct rp_actions *actions)
 {
     while (agent->released_packets.length == 0 &&
            admit_next_request(agent, now)) {
@@ -197,7 +197,8 @@
     if (!agent->action_packet) {
         return false;
     }
-    RpAgent_Send(agent, actions, RP_ACTION_TO_HOST, RP_COUNT_PACKETS_OUT,
-                 agent->action_packet->data, agent->action_packet->len);
+    RpAgent_AddSendAction(agent, actions, RP_ACTION_TO_HOST,
+                          RP_COUNT_PACKETS_OUT, agent->action_packet->data,
+                          agent->action_packet->len);
     return true;
 }
--- a/lib/flow/rp_agent_internal.h
+++ b/lib/flow/rp_agent_internal.h
@@ -14,32 +14,32 @@
 #include "rp_work.h"
 
 /* Time that a host has to answer a SYN before the next candidate is tried. */
-#define RP_SYN_PATIENCE_US (250 * RP_US_PER_MS)
+#define RP_HOST_ANSWER_TIMEOUT_US (250 * RP_US_PER_MS)
 /* How long the entry of an idle flow is kept in formats in which its ends
  * cannot be probed. If a flow continues after that, the agent learns it again
  * from its host. */
-#define RP_IDLE_FORGET_US (120 * RP_US_PER_SECOND)
+#define RP_IDLE_FLOW_TIMEOUT_US (120 * RP_US_PER_SECOND)
 /* How long a slot is reserved for the first request of a new flow. */
-#define RP_RESERVE_US RP_SYN_PATIENCE_US
+#define RP_RESERVATION_TIMEOUT_US RP_HOST_ANSWER_TIMEOUT_US
 /* Longest time for which copies of a SYN can be in the network. An agent that
  * has run longer has seen the start of every flow whose SYN still arrives. */
 #define RP_SYN_LIFETIME_US (120 * RP_US_PER_SECOND)
 /* How long packets of a flow without a known owner are dropped before its
  * caller is reset. A change takes up to 7 s to reach every table, and until
  * then the owner may still be found. */
-#define RP_OWNER_PATIENCE_US (10 * RP_US_PER_SECOND)
+#define RP_OWNER_SEARCH_TIMEOUT_US (10 * RP_US_PER_SECOND)
 /* How long the caller may take to acknowledge a SYN-ACK. */
-#define RP_CONFIRM_PATIENCE_US (60 * RP_US_PER_SECOND)
+#define RP_HANDSHAKE_TIMEOUT_US (60 * RP_US_PER_SECOND)
 /* How long the entry of a closed flow and of an unused redirect is kept. */
-#define RP_CLOSED_LINGER_US (60 * RP_US_PER_SECOND)
-#define RP_REDIRECT_LINGER_US (120 * RP_US_PER_SECOND)
+#define RP_CLOSED_FLOW_TIMEOUT_US (60 * RP_US_PER_SECOND)
+#define RP_REDIRECT_TIMEOUT_US (120 * RP_US_PER_SECOND)
 /* A request whose answer takes this long marks its flow as one with long
  * requests, which may fill only a share of the slots. */
-#define RP_LONG_AFTER_US (200 * RP_US_PER_MS)
+#define RP_LONG_REQUEST_US (200 * RP_US_PER_MS)
 /* Entries in any state. Bounds the memory that a SYN flood can take. */
 #define RP_AGENT_MAX_ENTRIES 1000000
 /* Largest retry budget, in hundredths of a retry. */
-#define RP_RETRY_BURST_CENTS 2000
+#define RP_RETRY_BUDGET_MAX_CENTS 2000
 
 /* A timer in a FIFO queue. All timers of a queue have the same duration, so
  * they are in the order of their deadlines. */
@@ -64,12 +64,12 @@
     struct rp_flow_table *flows;
     struct rp_hold *hold;
     /* The packet that the actions of the last call point into, or NULL. */
-    struct rp_held *action_packet;
+    struct rp_held_packet *action_packet;
     struct rp_gate *gate;
-    /* Packets that the gate delays: caller -> GQueue of rp_held. */
+    /* Packets that the gate delays: caller -> GQueue of rp_held_packet. */
     GHashTable *queued_packets;
     size_t queued_bytes;        /* of the packets in `queued_packets` */
-    GQueue released_packets;    /* of rp_held, to send to the host */
+    GQueue released_packets;    /* of rp_held_packet, to send to the host */
     GQueue short_timers;        /* of struct rp_flow_timer: state deadlines */
     GQueue reservations;        /* of struct rp_flow_timer: reserved slots */
     uint32_t owned_flows;       /* flows with RP_FLOW_OWNED */
@@ -81,42 +81,43 @@
 
 /* Starts a call: empties `actions` and frees the packet that the actions of
  * the previous call pointed into. */
-void RpAgent_Begin(struct rp_agent *agent, struct rp_actions *actions);
+void RpAgent_BeginCall(struct rp_agent *agent, struct rp_actions *actions);
 
 /* Removes the flow's kept packet from the hold, or returns NULL. The agent
  * owns the packet until the next call, so actions may point into it. */
-const struct rp_held *RpAgent_TakeHeld(struct rp_agent *agent,
-                                       const struct rp_flow *flow);
+const struct rp_held_packet *
+RpAgent_TakeHeldPacket(struct rp_agent *agent, const struct rp_flow *flow);
 
 /* Adds an action, counts its reason and returns the action, whose other
  * members the caller of this function sets. */
-struct rp_action *RpAgent_Act(struct rp_agent *agent,
-                              struct rp_actions *actions,
-                              enum rp_action_kind kind,
-                              enum rp_counter reason);
+struct rp_action *RpAgent_AddAction(struct rp_agent *agent,
+                                    struct rp_actions *actions,
+                                    enum rp_action_kind kind,
+                                    enum rp_counter reason);
 
 /* Adds an action that sends `len` bytes at `data`. */
-void RpAgent_Send(struct rp_agent *agent, struct rp_actions *actions,
-                  enum rp_action_kind kind, enum rp_counter reason,
-                  const uint8_t *data, size_t len);
+void RpAgent_AddSendAction(struct rp_agent *agent, struct rp_actions *actions,
+                           enum rp_action_kind kind, enum rp_counter reason,
+                           const uint8_t *data, size_t len);
 
 /* Adds an action that sends a segment without payload, with the source and
  * destination of `key`. */
-void RpAgent_SendSegment(struct rp_agent *agent, struct rp_actions *actions,
-                         enum rp_action_kind kind, enum rp_counter reason,
-                         struct rp_flow_key key, uint8_t flags, uint32_t seq,
-                         uint32_t ack);
+void RpAgent_AddSegmentAction(struct rp_agent *agent,
+                              struct rp_actions *actions,
+                              enum rp_action_kind kind, enum rp_counter reason,
+                              struct rp_flow_key key, uint8_t flags,
+                              uint32_t seq, uint32_t ack);
 
 /* Whether the agent can make segments in the name of a flow's ends. */
 static inline bool
-RpAgent_CanForge(const struct rp_agent *agent)
+RpAgent_CanMakeSegments(const struct rp_agent *agent)
 {
     return agent->config.codec->ops->make_segment != NULL;
 }
 
 /* Closes a flow that its host has lost and resets its caller. */
-void RpAgent_ResetLost(struct rp_agent *agent, int64_t now,
-                       struct rp_flow *flow, struct rp_actions *actions);
+void RpAgent_ResetLostFlow(struct rp_agent *agent, int64_t now,
+                           struct rp_flow *flow, struct rp_actions *actions);
 
 /* Answers a caller's packet with a reset. */
 void RpAgent_ResetCaller(struct rp_agent *agent, struct rp_actions *actions,
@@ -125,22 +126,23 @@
 
 /* Sets the state of a flow, its deadline and the counts of owned and busy
  * flows. */
-void RpAgent_Enter(struct rp_agent *agent, struct rp_flow *flow, uint8_t state,
-                   int64_t now);
+void RpAgent_EnterState(struct rp_agent *agent, struct rp_flow *flow,
+                        uint8_t state, int64_t now);
 
 /* Whether the deadline of a state is in `short_timers`. Other deadlines are
  * found by scanning the flow table. */
 bool RpAgent_HasShortTimer(uint8_t state);
 
 /* Removes a flow's entry, its kept packet and its share of the counts. */
-void RpAgent_Forget(struct rp_agent *agent, struct rp_flow *flow);
+void RpAgent_RemoveFlow(struct rp_agent *agent, struct rp_flow *flow);
 
 /* Sets whether a flow has an outstanding request and so occupies a slot. */
 void RpAgent_SetBusy(struct rp_agent *agent, struct rp_flow *flow, bool busy);
 
-/* Reserves a slot for RP_RESERVE_US for the first request of a new flow. */
-void RpAgent_Reserve(struct rp_agent *agent, struct rp_flow *flow,
-                     int64_t now);
+/* Reserves a slot for RP_RESERVATION_TIMEOUT_US for the first request of a new
+ * flow. */
+void RpAgent_ReserveSlot(struct rp_agent *agent, struct rp_flow *flow,
+                         int64_t now);
 
 /* Fills in the load that an admission policy decides by. `address` is the
  * address that the caller connects to. */
@@ -176,78 +178,90 @@
 
 /* As RpAgent_NextHop, but chooses `preferred` if it has not had the packet
  * yet and may take it. */
-bool RpAgent_NextHopPrefer(const struct rp_agent *agent,
-                           struct rp_chain *chain, struct rp_flow_key caller,
-                           bool is_new_flow, struct rp_endpoint preferred,
-                           struct rp_endpoint *next);
+bool RpAgent_PreferredNextHop(const struct rp_agent *agent,
+                              struct rp_chain *chain,
+                              struct rp_flow_key caller, bool is_new_flow,
+                              struct rp_endpoint preferred,
+                              struct rp_endpoint *next);
 
 /* rp_agent_open.c: handles a SYN that opens a flow: admits the flow, forwards
  * the SYN to the next candidate or refuses the flow. `flow` is an earlier
  * entry with the same addresses and ports, or NULL. */
-void RpAgent_Decide(struct rp_agent *agent, int64_t now, struct rp_flow *flow,
-                    const struct rp_packet *packet,
-                    const struct rp_chain *chain, struct rp_actions *actions);
+void RpAgent_DecideAdmission(struct rp_agent *agent, int64_t now,
+                             struct rp_flow *flow,
+                             const struct rp_packet *packet,
+                             const struct rp_chain *chain,
+                             struct rp_actions *actions);
 
 /* Sends the host a new SYN of a flow whose earlier SYN it has not answered. */
-void RpAgent_Renew(struct rp_agent *agent, int64_t now, struct rp_flow *flow,
-                   const struct rp_packet *packet,
-                   const struct rp_chain *chain, struct rp_actions *actions);
+void RpAgent_RestartFlow(struct rp_agent *agent, int64_t now,
+                         struct rp_flow *flow, const struct rp_packet *packet,
+                         const struct rp_chain *chain,
+                         struct rp_actions *actions);
 
 /* Forwards the kept SYN of a flow to the next candidate after the host
  * refused it (`refusal` is the host's packet) or did not answer it in time
  * (`refusal` is NULL). Without a candidate or retry budget the caller gets the
  * refusal, or the agent waits for the host's answer. */
-void RpAgent_Retry(struct rp_agent *agent, int64_t now, struct rp_flow *flow,
-                   const struct rp_packet *refusal,
-                   struct rp_actions *actions);
+void RpAgent_RetrySyn(struct rp_agent *agent, int64_t now,
+                      struct rp_flow *flow, const struct rp_packet *refusal,
+                      struct rp_actions *actions);
 
 /* Leaves a flow to another agent after the caller acknowledged another host's
  * SYN-ACK: resets the own host's half-open connection and forwards the
  * packet. */
-void RpAgent_Yield(struct rp_agent *agent, int64_t now, struct rp_flow *flow,
-                   const struct rp_packet *packet,
-                   const struct rp_chain *chain, struct rp_actions *actions);
+void RpAgent_YieldToNextAgent(struct rp_agent *agent, int64_t now,
+                              struct rp_flow *flow,
+                              const struct rp_packet *packet,
+                              const struct rp_chain *chain,
+                              struct rp_actions *actions);
 
 /* Answers a SYN-ACK that the host sent after the flow went to another agent
  * with a reset. The caller does not see it. */
-void RpAgent_Quash(struct rp_agent *agent, struct rp_flow *flow,
-                   const struct rp_packet *packet, struct rp_actions *actions);
+void RpAgent_ResetHost(struct rp_agent *agent, struct rp_flow *flow,
+                       const struct rp_packet *packet,
+                       struct rp_actions *actions);
 
 /* Forwards a packet of a flow that another agent may own to the next agent.
  * If no agent is left, a SYN is decided here, and a segment goes to another
  * service behind the same virtual address, is dropped or resets its caller.
  * `flow` may be NULL. */
-void RpAgent_Pass(struct rp_agent *agent, int64_t now, struct rp_flow *flow,
-                  const struct rp_packet *packet, const struct rp_chain *chain,
-                  struct rp_actions *actions);
+void RpAgent_ForwardToNextAgent(struct rp_agent *agent, int64_t now,
+                                struct rp_flow *flow,
+                                const struct rp_packet *packet,
+                                const struct rp_chain *chain,
+                                struct rp_actions *actions);
 
 /* rp_agent_learn.c: queries the host about a flow without an entry: sends it
  * the packet and keeps a copy. */
-void RpAgent_Ask(struct rp_agent *agent, int64_t now,
-                 const struct rp_packet *packet, const struct rp_chain *chain,
-                 struct rp_actions *actions);
+void RpAgent_QueryHost(struct rp_agent *agent, int64_t now,
+                       const struct rp_packet *packet,
+                       const struct rp_chain *chain,
+                       struct rp_actions *actions);
 
 /* Handles a host's packet of a flow without an entry. Any packet but a reset
  * or a returned one proves that the host has the flow, so the agent
  * owns it. */
-void RpAgent_AdoptFromHost(struct rp_agent *agent, int64_t now,
-                           const struct rp_packet *packet,
-                           struct rp_actions *actions);
-
-/* As RpAgent_Ask, for a flow that has an entry. */
-void RpAgent_AskAgain(struct rp_agent *agent, int64_t now,
-                      struct rp_flow *flow, const struct rp_packet *packet,
-                      const struct rp_chain *chain,
-                      struct rp_actions *actions);
+void RpAgent_LearnFlowFromHost(struct rp_agent *agent, int64_t now,
+                               const struct rp_packet *packet,
+                               struct rp_actions *actions);
+
+/* As RpAgent_QueryHost, for a flow that has an entry. */
+void RpAgent_QueryHostForFlow(struct rp_agent *agent, int64_t now,
+                              struct rp_flow *flow,
+                              const struct rp_packet *packet,
+                              const struct rp_chain *chain,
+                              struct rp_actions *actions);
 
 /* Makes the agent the owner of a flow that its host proved to have. */
-void RpAgent_Adopt(struct rp_agent *agent, struct rp_flow *flow, uint8_t state,
-                   int64_t now);
+void RpAgent_TakeOwnership(struct rp_agent *agent, struct rp_flow *flow,
+                           uint8_t state, int64_t now);
 
 /* Handles the host's answer that it does not have a flow: forwards the packet
  * with which the host was queried. */
-void RpAgent_Release(struct rp_agent *agent, int64_t now, struct rp_flow *flow,
-                     struct rp_actions *actions);
+void RpAgent_ReleaseToNextAgent(struct rp_agent *agent, int64_t now,
+                                struct rp_flow *flow,
+                                struct rp_actions *actions);
 
 /* rp_agent_gate.c: queues requests that wait for a slot of the host. */
 void RpAgent_GateCreate(struct rp_agent *agent);
@@ -259,20 +273,21 @@
 
 /* Passes a packet for the host through the gate. Returns true if the packet
  * must not be sent now: it is queued, or dropped because the queue is full. */
-bool RpAgent_GateHolds(struct rp_agent *agent, int64_t now,
-                       struct rp_flow *flow, const struct rp_packet *packet);
+bool RpAgent_GateDefersPacket(struct rp_agent *agent, int64_t now,
+                              struct rp_flow *flow,
+                              const struct rp_packet *packet);
 
 /* Frees the gate slot of a flow whose request has ended, or removes the
  * request from the queue. Packets that are queued then go to the host. */
-void RpAgent_GateLeave(struct rp_agent *agent, struct rp_flow *flow);
+void RpAgent_GateEndRequest(struct rp_agent *agent, struct rp_flow *flow);
 
 /* Records whether the answer that has just ended took long. */
-void RpAgent_GateLearn(struct rp_flow *flow, int64_t now);
+void RpAgent_GateRecordAnswer(struct rp_flow *flow, int64_t now);
 
 /* Adds an action that sends at most one released packet; false if there is
  * none. */
-bool RpAgent_GatePump(struct rp_agent *agent, int64_t now,
-                      struct rp_actions *actions);
+bool RpAgent_GateSendNext(struct rp_agent *agent, int64_t now,
+                          struct rp_actions *actions);
 
 /* rp_agent_silence.c: checks an open flow for a lost end when its deadline has
  * passed; probes or resets the ends. */
--- a/lib/flow/rp_agent_open.c
+++ b/lib/flow/rp_agent_open.c
@@ -28,8 +28,8 @@
                    enum rp_counter reason, const uint8_t *data, size_t len,
                    const struct rp_chain *chain, struct rp_endpoint next)
 {
-    struct rp_action *action = RpAgent_Act(agent, actions, RP_ACTION_PASS,
-                                           reason);
+    struct rp_action *action = RpAgent_AddAction(
+        agent, actions, RP_ACTION_TO_NEXT_AGENT, reason);
 
     action->data = data;
     action->len = len;
@@ -45,7 +45,7 @@
 redirect_flow(struct rp_agent *agent, struct rp_flow *flow,
               struct rp_endpoint next, int64_t now)
 {
-    RpAgent_Enter(agent, flow, RP_FLOW_REDIRECT, now);
+    RpAgent_EnterState(agent, flow, RP_FLOW_REDIRECTED, now);
     flow->next_hop = next;
     if (!agent->knows_all_flows &&
         now < agent->config.started + RP_SYN_LIFETIME_US) {
@@ -75,7 +75,7 @@
     load.waited_us = packet->waited_us;
     /* The last candidate takes the flow even if its host is unhealthy, as no
      * other is left. */
-    if (!load.last && !RpHealth_Allows(&agent->health, now)) {
+    if (!load.last && !RpHealth_AllowsNewFlow(&agent->health, now)) {
         *reason = RP_COUNT_PASS_UNHEALTHY;
         return RP_VERDICT_PASS;
     }
@@ -162,13 +162,13 @@
            struct rp_actions *actions)
 {
     if (packet->copy > 0) {
-        RpAgent_Act(agent, actions, RP_ACTION_DROP, reason);
+        RpAgent_AddAction(agent, actions, RP_ACTION_DROP, reason);
     }
     else {
         RpAgent_ResetCaller(agent, actions, reason, packet);
     }
     if (flow) {
-        RpAgent_Forget(agent, flow);
+        RpAgent_RemoveFlow(agent, flow);
     }
 }
 
@@ -209,10 +209,11 @@
     size_t len = copy_syn_without_payload(agent, packet, scratch);
 
     init_flow_from_syn(flow, packet, now);
-    RpAgent_Enter(agent, flow, RP_FLOW_OPENING, now);
-    RpAgent_Reserve(agent, flow, now);
+    RpAgent_EnterState(agent, flow, RP_FLOW_SYN_SENT, now);
+    RpAgent_ReserveSlot(agent, flow, now);
     RpHold_Put(agent->hold, flow->caller, chain, scratch, len);
-    RpAgent_Send(agent, actions, RP_ACTION_TO_HOST, reason, scratch, len);
+    RpAgent_AddSendAction(agent, actions, RP_ACTION_TO_HOST, reason, scratch,
+                          len);
 }
 
 /* Adds the service's share of a retry for an admitted flow. */
@@ -221,13 +222,14 @@
 {
     agent->retry_budget_cents += (int32_t)agent->service->retries_percent;
     agent->retry_budget_cents = MIN(agent->retry_budget_cents,
-                                    RP_RETRY_BURST_CENTS);
+                                    RP_RETRY_BUDGET_MAX_CENTS);
 }
 
 void
-RpAgent_Decide(struct rp_agent *agent, int64_t now, struct rp_flow *flow,
-               const struct rp_packet *packet, const struct rp_chain *chain,
-               struct rp_actions *actions)
+RpAgent_DecideAdmission(struct rp_agent *agent, int64_t now,
+                        struct rp_flow *flow, const struct rp_packet *packet,
+                        const struct rp_chain *chain,
+                        struct rp_actions *actions)
 {
     enum rp_counter reason;
     enum rp_verdict verdict = get_admission_verdict(agent, now, packet, chain,
@@ -252,9 +254,9 @@
 }
 
 void
-RpAgent_Renew(struct rp_agent *agent, int64_t now, struct rp_flow *flow,
-              const struct rp_packet *packet, const struct rp_chain *chain,
-              struct rp_actions *actions)
+RpAgent_RestartFlow(struct rp_agent *agent, int64_t now, struct rp_flow *flow,
+                    const struct rp_packet *packet,
+                    const struct rp_chain *chain, struct rp_actions *actions)
 {
     send_syn_to_host(agent, now, flow, packet, chain, RP_COUNT_FLOW_ADMITTED,
                      actions);
@@ -282,16 +284,16 @@
         refuse_syn(agent, flow, refusal, RP_COUNT_REFUSED_ALL, actions);
         return;
     }
-    RpAgent_Enter(agent, flow, RP_FLOW_CLOSED, now);
-    RpAgent_Send(agent, actions, RP_ACTION_TO_CALLER, RP_COUNT_REFUSED_ALL,
-                 refusal->data, refusal->len);
+    RpAgent_EnterState(agent, flow, RP_FLOW_CLOSED, now);
+    RpAgent_AddSendAction(agent, actions, RP_ACTION_TO_CALLER,
+                          RP_COUNT_REFUSED_ALL, refusal->data, refusal->len);
 }
 
 void
-RpAgent_Retry(struct rp_agent *agent, int64_t now, struct rp_flow *flow,
-              const struct rp_packet *refusal, struct rp_actions *actions)
+RpAgent_RetrySyn(struct rp_agent *agent, int64_t now, struct rp_flow *flow,
+                 const struct rp_packet *refusal, struct rp_actions *actions)
 {
-    const struct rp_held *held = RpAgent_TakeHeld(agent, flow);
+    const struct rp_held_packet *held = RpAgent_TakeHeldPacket(agent, flow);
     struct rp_chain remaining = held ? held->chain : (struct rp_chain){0};
     struct rp_endpoint next;
     bool can_retry = held &&
@@ -312,25 +314,26 @@
     else if (held) {
         /* No other candidate or no retry budget is left: wait for the host,
          * and for the caller to repeat its SYN. */
-        flow->deadline = now + RP_CONFIRM_PATIENCE_US;
+        flow->deadline = now + RP_HANDSHAKE_TIMEOUT_US;
     }
     else {
         RpCounters_Add(agent->counters, RP_COUNT_FLOW_EXPIRED);
-        RpAgent_Forget(agent, flow);
+        RpAgent_RemoveFlow(agent, flow);
     }
 }
 
 void
-RpAgent_Yield(struct rp_agent *agent, int64_t now, struct rp_flow *flow,
-              const struct rp_packet *packet, const struct rp_chain *chain,
-              struct rp_actions *actions)
+RpAgent_YieldToNextAgent(struct rp_agent *agent, int64_t now,
+                         struct rp_flow *flow, const struct rp_packet *packet,
+                         const struct rp_chain *chain,
+                         struct rp_actions *actions)
 {
     struct rp_flow_key key = flow->caller;
 
-    if (RpAgent_CanForge(agent)) {
-        RpAgent_SendSegment(agent, actions, RP_ACTION_TO_HOST,
-                            RP_COUNT_FLOW_YIELDED, key, RP_TCP_RST,
-                            flow->caller_isn + 1, 0);
+    if (RpAgent_CanMakeSegments(agent)) {
+        RpAgent_AddSegmentAction(agent, actions, RP_ACTION_TO_HOST,
+                                 RP_COUNT_FLOW_YIELDED, key, RP_TCP_RST,
+                                 flow->caller_isn + 1, 0);
     }
     else {
         /* No reset can be made in this format. The host drops its half-open
@@ -338,22 +341,23 @@
         RpCounters_Add(agent->counters, RP_COUNT_FLOW_YIELDED);
     }
     flow->next_hop = (struct rp_endpoint){0};
-    RpAgent_Pass(agent, now, flow, packet, chain, actions);
+    RpAgent_ForwardToNextAgent(agent, now, flow, packet, chain, actions);
 }
 
 void
-RpAgent_Quash(struct rp_agent *agent, struct rp_flow *flow,
-              const struct rp_packet *packet, struct rp_actions *actions)
+RpAgent_ResetHost(struct rp_agent *agent, struct rp_flow *flow,
+                  const struct rp_packet *packet, struct rp_actions *actions)
 {
     struct rp_flow_key key = flow->caller;
 
-    if (!RpAgent_CanForge(agent)) {
-        RpAgent_Act(agent, actions, RP_ACTION_DROP, RP_COUNT_SYN_LATE_ANSWER);
+    if (!RpAgent_CanMakeSegments(agent)) {
+        RpAgent_AddAction(agent, actions, RP_ACTION_DROP,
+                          RP_COUNT_SYN_LATE_ANSWER);
         return;
     }
-    RpAgent_SendSegment(agent, actions, RP_ACTION_TO_HOST,
-                        RP_COUNT_SYN_LATE_ANSWER, key, RP_TCP_RST, packet->ack,
-                        0);
+    RpAgent_AddSegmentAction(agent, actions, RP_ACTION_TO_HOST,
+                             RP_COUNT_SYN_LATE_ANSWER, key, RP_TCP_RST,
+                             packet->ack, 0);
 }
 
 /* Forwards a packet whose owner is not among this service's agents to the
@@ -396,7 +400,7 @@
 
 /* Handles a packet of an open flow when no agent is left that may own it.
  * Tables can differ for a while, so the caller of a flow that has an entry is
- * reset only after RP_OWNER_PATIENCE_US without an owner. */
+ * reset only after RP_OWNER_SEARCH_TIMEOUT_US without an owner. */
 static void
 handle_missing_owner(struct rp_agent *agent, int64_t now, struct rp_flow *flow,
                      const struct rp_packet *packet,
@@ -406,36 +410,40 @@
         flow->flags |= RP_FLOW_ORPHAN;
         flow->host_seen = now;
     }
-    bool keep_waiting = flow && now < flow->host_seen + RP_OWNER_PATIENCE_US;
-    if (keep_waiting || !RpAgent_CanForge(agent) ||
+    bool keep_waiting = flow &&
+                        now < flow->host_seen + RP_OWNER_SEARCH_TIMEOUT_US;
+    if (keep_waiting || !RpAgent_CanMakeSegments(agent) ||
         (packet->flags & RP_TCP_RST)) {
-        RpAgent_Act(agent, actions, RP_ACTION_DROP, RP_COUNT_DROP_NO_OWNER);
+        RpAgent_AddAction(agent, actions, RP_ACTION_DROP,
+                          RP_COUNT_DROP_NO_OWNER);
         return;
     }
     RpAgent_ResetCaller(agent, actions, RP_COUNT_RESET_OWNER_GONE, packet);
 }
 
 void
-RpAgent_Pass(struct rp_agent *agent, int64_t now, struct rp_flow *flow,
-             const struct rp_packet *packet, const struct rp_chain *chain,
-             struct rp_actions *actions)
+RpAgent_ForwardToNextAgent(struct rp_agent *agent, int64_t now,
+                           struct rp_flow *flow,
+                           const struct rp_packet *packet,
+                           const struct rp_chain *chain,
+                           struct rp_actions *actions)
 {
     struct rp_flow_key caller = packet->key;
     struct rp_chain remaining = *chain;
     struct rp_endpoint next;
     bool is_new_flow = RpPacket_Opens(packet);
-    bool has_next_hop = flow && flow->state == RP_FLOW_REDIRECT &&
+    bool has_next_hop = flow && flow->state == RP_FLOW_REDIRECTED &&
                         flow->next_hop.port != 0;
-    bool found = has_next_hop ? RpAgent_NextHopPrefer(agent, &remaining,
-                                                      caller, is_new_flow,
-                                                      flow->next_hop, &next)
+    bool found = has_next_hop ? RpAgent_PreferredNextHop(agent, &remaining,
+                                                         caller, is_new_flow,
+                                                         flow->next_hop, &next)
                               : RpAgent_NextHop(agent, &remaining, caller,
                                                 is_new_flow, &next);
 
     if (!found && is_new_flow) {
         /* Every candidate has forwarded the SYN, so this agent decides as
          * the last one. */
-        RpAgent_Decide(agent, now, flow, packet, chain, actions);
+        RpAgent_DecideAdmission(agent, now, flow, packet, chain, actions);
         return;
     }
     if (!found) {
@@ -444,10 +452,10 @@
         }
         return;
     }
-    if (flow && flow->state == RP_FLOW_REDIRECT) {
+    if (flow && flow->state == RP_FLOW_REDIRECTED) {
         flow->next_hop = next;
         flow->flags &= (uint16_t)~RP_FLOW_ORPHAN;
-        flow->deadline = now + RP_REDIRECT_LINGER_US;
+        flow->deadline = now + RP_REDIRECT_TIMEOUT_US;
     }
     const uint8_t *data = packet->data;
     size_t len = packet->len;
--- a/lib/flow/rp_agent_silence.c
+++ b/lib/flow/rp_agent_silence.c
@@ -43,9 +43,9 @@
 probe_host(struct rp_agent *agent, const struct rp_flow *flow,
            struct rp_actions *actions)
 {
-    RpAgent_SendSegment(agent, actions, RP_ACTION_TO_HOST, RP_COUNT_PROBE_SENT,
-                        flow->caller, RP_TCP_ACK, flow->host_acked - 1,
-                        flow->caller_acked);
+    RpAgent_AddSegmentAction(agent, actions, RP_ACTION_TO_HOST,
+                             RP_COUNT_PROBE_SENT, flow->caller, RP_TCP_ACK,
+                             flow->host_acked - 1, flow->caller_acked);
 }
 
 /* Probes the caller like probe_host. */
@@ -53,9 +53,10 @@
 probe_caller(struct rp_agent *agent, const struct rp_flow *flow,
              struct rp_actions *actions)
 {
-    RpAgent_SendSegment(agent, actions, RP_ACTION_TO_CALLER,
-                        RP_COUNT_PROBE_SENT, RpFlowKey_Reverse(flow->caller),
-                        RP_TCP_ACK, flow->caller_acked - 1, flow->host_acked);
+    RpAgent_AddSegmentAction(agent, actions, RP_ACTION_TO_CALLER,
+                             RP_COUNT_PROBE_SENT,
+                             RpFlowKey_Reverse(flow->caller), RP_TCP_ACK,
+                             flow->caller_acked - 1, flow->host_acked);
 }
 
 /* Closes the flow and resets both ends. */
@@ -65,12 +66,12 @@
 {
     struct rp_flow_key key = flow->caller;
 
-    RpAgent_SendSegment(agent, actions, RP_ACTION_TO_HOST, reason, key,
-                        RP_TCP_RST, flow->host_acked, 0);
-    RpAgent_SendSegment(agent, actions, RP_ACTION_TO_CALLER,
-                        RP_COUNT_PACKETS_OUT, RpFlowKey_Reverse(key),
-                        RP_TCP_RST, flow->caller_acked, 0);
-    RpAgent_Enter(agent, flow, RP_FLOW_CLOSED, now);
+    RpAgent_AddSegmentAction(agent, actions, RP_ACTION_TO_HOST, reason, key,
+                             RP_TCP_RST, flow->host_acked, 0);
+    RpAgent_AddSegmentAction(agent, actions, RP_ACTION_TO_CALLER,
+                             RP_COUNT_PACKETS_OUT, RpFlowKey_Reverse(key),
+                             RP_TCP_RST, flow->caller_acked, 0);
+    RpAgent_EnterState(agent, flow, RP_FLOW_CLOSED, now);
 }
 
 /* Resets a flow if an end did not answer its probe in time. */
@@ -93,16 +94,16 @@
                     actions);
 }
 
-/* Removes the entry of a flow that was idle for RP_IDLE_FORGET_US, in formats
- * in which the ends cannot be probed. */
+/* Removes the entry of a flow that was idle for RP_IDLE_FLOW_TIMEOUT_US, in
+ * formats in which the ends cannot be probed. */
 static void
 forget_if_idle(struct rp_agent *agent, int64_t now, struct rp_flow *flow,
                int64_t last_seen)
 {
-    flow->deadline = last_seen + RP_IDLE_FORGET_US;
+    flow->deadline = last_seen + RP_IDLE_FLOW_TIMEOUT_US;
     if (flow->deadline <= now) {
         RpCounters_Add(agent->counters, RP_COUNT_FLOW_EXPIRED);
-        RpAgent_Forget(agent, flow);
+        RpAgent_RemoveFlow(agent, flow);
     }
 }
 
@@ -112,7 +113,7 @@
 {
     int64_t last_seen = MAX(flow->host_seen, flow->caller_seen);
 
-    if (!RpAgent_CanForge(agent)) {
+    if (!RpAgent_CanMakeSegments(agent)) {
         forget_if_idle(agent, now, flow, last_seen);
         return;
     }
--- a/lib/flow/rp_agent_timer.c
+++ b/lib/flow/rp_agent_timer.c
@@ -17,19 +17,19 @@
                                              RP_FLOW_EV_TIMER);
 
     switch ((enum rp_flow_action)step.action) {
-    case RP_FLOW_DO_RETRY:
-        RpHealth_Failed(&agent->health, now);
-        RpAgent_Retry(agent, now, flow, NULL, actions);
+    case RP_FLOW_DO_RETRY_SYN:
+        RpHealth_RecordFailure(&agent->health, now);
+        RpAgent_RetrySyn(agent, now, flow, NULL, actions);
         break;
-    case RP_FLOW_DO_PRESUME:
-        RpAgent_Enter(agent, flow, step.next, now);
+    case RP_FLOW_DO_PRESUME_OWNED:
+        RpAgent_EnterState(agent, flow, step.next, now);
         break;
-    case RP_FLOW_DO_CHECK:
+    case RP_FLOW_DO_CHECK_SILENCE:
         RpAgent_CheckSilence(agent, now, flow, actions);
         break;
     default:
         RpCounters_Add(agent->counters, RP_COUNT_FLOW_EXPIRED);
-        RpAgent_Forget(agent, flow);
+        RpAgent_RemoveFlow(agent, flow);
     }
 }
 
@@ -104,7 +104,7 @@
                                         agent->lost_flows->len - 1));
         g_array_set_size(agent->lost_flows, agent->lost_flows->len - 1);
         if (flow && (flow->flags & RP_FLOW_OWNED)) {
-            RpAgent_ResetLost(agent, now, flow, actions);
+            RpAgent_ResetLostFlow(agent, now, flow, actions);
             return true;
         }
     }
@@ -141,7 +141,7 @@
 RpAgent_OnTimer(struct rp_agent *agent, int64_t now,
                 struct rp_actions *actions)
 {
-    RpAgent_Begin(agent, actions);
+    RpAgent_BeginCall(agent, actions);
     if (!agent->service) {
         return false;
     }
@@ -149,7 +149,7 @@
         return true;
     }
     end_expired_reservations(agent, now);
-    if (RpAgent_GatePump(agent, now, actions)) {
+    if (RpAgent_GateSendNext(agent, now, actions)) {
         return true;
     }
     struct rp_flow *flow = next_expired_short_timer(agent, now);
--- a/lib/flow/rp_health.c
+++ b/lib/flow/rp_health.c
@@ -51,13 +51,13 @@
         break;
     case DO_SCHEDULE_TRIAL:
         health->failures = 0;
-        health->trial_deadline = now + RP_HEALTH_TRIAL_US;
+        health->trial_deadline = now + RP_HEALTH_TRIAL_INTERVAL_US;
         break;
     }
 }
 
 bool
-RpHealth_Allows(struct rp_health *health, int64_t now)
+RpHealth_AllowsNewFlow(struct rp_health *health, int64_t now)
 {
     if (health->state == RP_HEALTH_HEALTHY) {
         return true;
@@ -65,21 +65,21 @@
     if (now < health->trial_deadline) {
         return false;
     }
-    health->trial_deadline = now + RP_HEALTH_TRIAL_US;
+    health->trial_deadline = now + RP_HEALTH_TRIAL_INTERVAL_US;
     apply_event(health, EV_TRIAL_DUE, now);
     return true;
 }
 
 void
-RpHealth_Answered(struct rp_health *health, int64_t now)
+RpHealth_RecordSuccess(struct rp_health *health, int64_t now)
 {
     apply_event(health, EV_SUCCESS, now);
 }
 
 void
-RpHealth_Failed(struct rp_health *health, int64_t now)
+RpHealth_RecordFailure(struct rp_health *health, int64_t now)
 {
-    bool reaches_limit = health->failures + 1 >= RP_HEALTH_FAILURES;
+    bool reaches_limit = health->failures + 1 >= RP_HEALTH_FAILURE_LIMIT;
 
     apply_event(health, reaches_limit ? EV_FAILURE_LIMIT : EV_FAILURE, now);
 }
--- a/lib/flow/rp_health.h
+++ b/lib/flow/rp_health.h
@@ -7,11 +7,15 @@
 #include "rp_time.h"
 
 /* Failures in a row that make a host unhealthy. */
-#define RP_HEALTH_FAILURES 3
+#define RP_HEALTH_FAILURE_LIMIT 3
 /* Time between two trial flows to an unhealthy host. */
-#define RP_HEALTH_TRIAL_US (1 * RP_US_PER_SECOND)
+#define RP_HEALTH_TRIAL_INTERVAL_US (1 * RP_US_PER_SECOND)
 
-enum rp_health_state { RP_HEALTH_HEALTHY, RP_HEALTH_ILL, RP_HEALTH_TRIAL };
+enum rp_health_state {
+    RP_HEALTH_HEALTHY,
+    RP_HEALTH_UNHEALTHY,
+    RP_HEALTH_TRIAL
+};
 
 struct rp_health {
     struct rp_chart chart;
@@ -25,12 +29,12 @@
 enum rp_code RpHealth_Init(struct rp_health *health, struct rp_error *error);
 
 /* Whether the host may get a new flow at `now`. For an unhealthy host this is
- * true once in RP_HEALTH_TRIAL_US: that flow is the trial. */
-bool RpHealth_Allows(struct rp_health *health, int64_t now);
+ * true once in RP_HEALTH_TRIAL_INTERVAL_US: that flow is the trial. */
+bool RpHealth_AllowsNewFlow(struct rp_health *health, int64_t now);
 
 /* Record the result of a new flow: the host answered its SYN, or refused or
  * did not answer it. */
-void RpHealth_Answered(struct rp_health *health, int64_t now);
-void RpHealth_Failed(struct rp_health *health, int64_t now);
+void RpHealth_RecordSuccess(struct rp_health *health, int64_t now);
+void RpHealth_RecordFailure(struct rp_health *health, int64_t now);
 
 #endif
--- a/lib/flow/rp_hold.c
+++ b/lib/flow/rp_hold.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 struct rp_hold {
-    GHashTable *packets; /* caller key -> struct rp_held */
+    GHashTable *packets; /* caller key -> struct rp_held_packet */
 };
 
 struct rp_hold *
@@ -31,12 +31,12 @@
 RpHold_Put(struct rp_hold *hold, struct rp_flow_key caller,
            const struct rp_chain *chain, const uint8_t *data, size_t len)
 {
-    if (len > RP_HOLD_PACKET_MAX ||
-        (g_hash_table_size(hold->packets) >= RP_HOLD_MAX &&
+    if (len > RP_HOLD_MAX_PACKET_SIZE ||
+        (g_hash_table_size(hold->packets) >= RP_HOLD_MAX_PACKETS &&
          !g_hash_table_contains(hold->packets, &caller))) {
         return false;
     }
-    struct rp_held *held = g_malloc(sizeof *held + len);
+    struct rp_held_packet *held = g_malloc(sizeof *held + len);
     held->chain = *chain;
     held->len = len;
     memcpy(held->data, data, len);
@@ -51,7 +51,7 @@
     g_hash_table_remove(hold->packets, &caller);
 }
 
-struct rp_held *
+struct rp_held_packet *
 RpHold_Take(struct rp_hold *hold, struct rp_flow_key caller)
 {
     gpointer stored_key;
--- a/lib/flow/rp_hold.h
+++ b/lib/flow/rp_hold.h
@@ -12,11 +12,11 @@
 #include "rp_geneve.h"
 #include "rp_packet.h"
 
-#define RP_HOLD_MAX 16384       /* packets */
-#define RP_HOLD_PACKET_MAX 2048 /* bytes; larger packets are not kept */
+#define RP_HOLD_MAX_PACKETS 16384    /* packets */
+#define RP_HOLD_MAX_PACKET_SIZE 2048 /* bytes; larger packets are not kept */
 
 /* A kept packet with the candidate chain that came with it. */
-struct rp_held {
+struct rp_held_packet {
     struct rp_chain chain;
     size_t len;
     uint8_t data[];
@@ -30,14 +30,15 @@
 void RpHold_Free(struct rp_hold *hold);
 
 /* Keeps a copy of the packet, which replaces an earlier packet of the same
- * flow. Returns false if RP_HOLD_MAX packets are kept or the packet is larger
- * than RP_HOLD_PACKET_MAX. */
+ * flow. Returns false if RP_HOLD_MAX_PACKETS packets are kept or the packet is
+ * larger than RP_HOLD_MAX_PACKET_SIZE. */
 bool RpHold_Put(struct rp_hold *hold, struct rp_flow_key caller,
                 const struct rp_chain *chain, const uint8_t *data, size_t len);
 
 /* Removes the flow's packet and returns it; the caller of this function frees
  * it with g_free. NULL if there is none. */
-struct rp_held *RpHold_Take(struct rp_hold *hold, struct rp_flow_key caller);
+struct rp_held_packet *RpHold_Take(struct rp_hold *hold,
+                                   struct rp_flow_key caller);
 
 /* Removes and frees the flow's packet, if there is one. */
 void RpHold_Drop(struct rp_hold *hold, struct rp_flow_key caller);
--- a/programs/daemon/agent.c
+++ b/programs/daemon/agent.c
@@ -158,7 +158,7 @@
         }
         send_action(agent, agent->balancer_side, fabric, header, len, action);
         break;
-    case RP_ACTION_PASS:
+    case RP_ACTION_TO_NEXT_AGENT:
         len = RpGeneve_Write(header, ops->protocol, &action->tag,
                              &action->chain);
         send_action(agent, agent->balancer_side, action->next, header, len,
@@ -500,7 +500,7 @@
         "revision %" G_GUINT64_FORMAT "\nflows %u\nbusy %u\nslots %u\n"
         "flow_table_bytes %zu\ncontrol_connected %d\n",
         RpTable_Revision(RpUplink_Table(agent->uplink)), load.flows, load.busy,
-        load.slots, RpAgent_Bytes(agent->flows),
+        load.slots, RpAgent_TableBytes(agent->flows),
         RpUplink_IsConnected(agent->uplink));
 }
 
@@ -535,7 +535,7 @@
     int64_t now = RpClock_Now();
     struct rp_agent_config config = {
         .codec = agent->codec,
-        .patience = agent->settings.host_timeout_ms * RP_US_PER_MS,
+        .host_answer_timeout = agent->settings.host_timeout_ms * RP_US_PER_MS,
         .self = agent->settings.listen,
         .started = now,
         .slots = agent->settings.slots,
--- a/programs/daemon/agent_host.c
+++ b/programs/daemon/agent_host.c
@@ -64,7 +64,7 @@
     }
     else if (report->sequence <= RP_HOST_FIRST_SEQUENCE ||
              (int64_t)report->host_start_ms > agent->started_ms) {
-        RpAgent_SetKnowsAll(agent->flows);
+        RpAgent_SetKnowsAllFlows(agent->flows);
     }
 }
 
--- a/programs/daemon/agent_log.c
+++ b/programs/daemon/agent_log.c
@@ -78,7 +78,7 @@
     char text[RP_ENDPOINT_TEXT_MAX];
     GString *flow = g_string_new(NULL);
     format_flow(flow, find_flow(agent, action));
-    if (action->kind == RP_ACTION_PASS) {
+    if (action->kind == RP_ACTION_TO_NEXT_AGENT) {
         g_string_append_printf(flow, " next=%s tried=%u/%u",
                                RpEndpoint_Format(action->next, text),
                                action->chain.visited, action->chain.count);
--- a/tests/golden/agent_session.c
+++ b/tests/golden/agent_session.c
@@ -149,7 +149,7 @@
         printf(" seq=%u ack=%u len=%u", packet.seq, packet.ack,
                packet.payload_len);
     }
-    if (action->kind == RP_ACTION_PASS) {
+    if (action->kind == RP_ACTION_TO_NEXT_AGENT) {
         printf(" next=%c", member_name(action->next));
         if (action->tag.service_id != session->service.id) {
             printf(" service=%u", action->tag.service_id);
@@ -499,7 +499,7 @@
         do_host_state(session, words[1]);
     }
     else if (!strcmp(words[0], "knows-all-flows")) {
-        RpAgent_SetKnowsAll(session->agent);
+        RpAgent_SetKnowsAllFlows(session->agent);
     }
     else if (!strcmp(words[0], "host-restarts")) {
         RpAgent_HostRestarted(session->agent, session->now);
--- a/tests/measure/cost.c
+++ b/tests/measure/cost.c
@@ -227,7 +227,7 @@
         int64_t end = now_ns();
         double each = (double)((middle - start) - (end - middle)) / PACKETS;
         printf("cost agent flows=%u ns_per_packet=%.1f bytes_per_flow=%.1f\n",
-               sizes[i], each, (double)RpAgent_Bytes(agent) / sizes[i]);
+               sizes[i], each, (double)RpAgent_TableBytes(agent) / sizes[i]);
         RpAgent_Free(agent);
     }
     RpMsg_Clear(&msg);
