--- a/lib/flow/rp_admission.c
+++ b/lib/flow/rp_admission.c
@@ -5,20 +5,21 @@
 #define ALL_PERCENT 100
 
 uint8_t
-RpLoad_Share(const struct rp_load *load)
+RpLoad_Utilisation(const struct rp_load *load)
 {
-    uint64_t utilisation = (uint64_t)load->busy * RP_SHARE_UNIT / load->slots;
+    uint64_t utilisation = (uint64_t)load->busy * RP_UTILISATION_UNIT /
+                           load->slots;
 
-    return (uint8_t)MIN(utilisation, RP_SHARE_MAX - 1);
+    return (uint8_t)MIN(utilisation, RP_UTILISATION_MAX - 1);
 }
 
-enum rp_verdict
+enum rp_decision
 RpAdmission_Decide(struct rp_admission *policy, const struct rp_load *load,
                    enum rp_counter *reason)
 {
     if (load->flows >= load->flow_limit) {
         *reason = RP_COUNT_PASS_FLOW_LIMIT;
-        return RP_VERDICT_PASS;
+        return RP_DECISION_PASS_ON;
     }
     return policy->ops->decide(policy, load, reason);
 }
@@ -46,21 +47,21 @@
     return policy;
 }
 
-static enum rp_verdict
+static enum rp_decision
 decide_by_free_slot(struct rp_admission *policy, const struct rp_load *load,
                     enum rp_counter *reason)
 {
     (void)policy;
     if (load->busy < load->slots) {
         *reason = RP_COUNT_FLOW_ADMITTED;
-        return RP_VERDICT_TAKE;
+        return RP_DECISION_ADMIT;
     }
     *reason = load->last ? RP_COUNT_FLOW_ADMITTED_LAST : RP_COUNT_PASS_BUSY;
-    return load->last ? RP_VERDICT_TAKE : RP_VERDICT_PASS;
+    return load->last ? RP_DECISION_ADMIT : RP_DECISION_PASS_ON;
 }
 
 struct rp_admission *
-RpAdmission_CreateBound(void)
+RpAdmission_CreateFreeSlot(void)
 {
     static const struct rp_admission_ops ops = {.name = "free-slot",
                                                 .decide = decide_by_free_slot,
@@ -69,56 +70,59 @@
     return create_policy(&ops);
 }
 
-static enum rp_verdict
+static enum rp_decision
 decide_by_least_busy(struct rp_admission *policy, const struct rp_load *load,
                      enum rp_counter *reason)
 {
-    enum rp_verdict decision = decide_by_free_slot(policy, load, reason);
+    enum rp_decision decision = decide_by_free_slot(policy, load, reason);
 
     if (*reason == RP_COUNT_FLOW_ADMITTED_LAST &&
-        load->best_share < RpLoad_Share(load)) {
+        load->lowest_utilisation < RpLoad_Utilisation(load)) {
         *reason = RP_COUNT_PASS_BACK;
-        return RP_VERDICT_BACK;
+        return RP_DECISION_PASS_BACK;
     }
     return decision;
 }
 
 uint32_t
-RpLoad_FullShare(const struct rp_load *load)
+RpLoad_RefusalThreshold(const struct rp_load *load)
 {
-    bool is_high_priority = load->priority <= RP_IMPORTANT_PRIORITY;
+    bool is_high_priority = load->priority <= RP_HIGH_PRIORITY_MAX;
 
     if (load->target_us > 0 && load->waited_us >= load->target_us) {
-        return RP_FULL_SHARE_LATE;
+        return RP_REFUSAL_THRESHOLD_PAST_TARGET;
     }
-    if (load->target_us == 0 || load->work_us == 0) {
-        return is_high_priority ? RP_FULL_SHARE_IMPORTANT
-                                : RP_FULL_SHARE_OTHERS;
+    if (load->target_us == 0 || load->service_time_us == 0) {
+        return is_high_priority ? RP_REFUSAL_THRESHOLD_HIGH_PRIORITY
+                                : RP_REFUSAL_THRESHOLD_LOW_PRIORITY;
     }
     /* At a utilisation of n (n >= 1), a new request waits for a slot for
      * n - 1 times the mean service time. */
-    uint64_t percent = is_high_priority ? RP_WAIT_PERCENT_IMPORTANT
-                                        : RP_WAIT_PERCENT_OTHERS;
+    uint64_t percent = is_high_priority ? RP_WAIT_PERCENT_HIGH_PRIORITY
+                                        : RP_WAIT_PERCENT_LOW_PRIORITY;
     uint64_t wait_us = load->target_us * percent / ALL_PERCENT;
     wait_us -= MIN(wait_us, load->waited_us);
-    uint64_t limit = RP_SHARE_UNIT + wait_us * RP_SHARE_UNIT / load->work_us;
-    return (uint32_t)CLAMP(limit, RP_FULL_SHARE_LEAST, RP_SHARE_MAX - 1);
+    uint64_t limit = RP_UTILISATION_UNIT +
+                     wait_us * RP_UTILISATION_UNIT / load->service_time_us;
+    return (uint32_t)CLAMP(limit, RP_REFUSAL_THRESHOLD_MIN,
+                           RP_UTILISATION_MAX - 1);
 }
 
-static enum rp_verdict
+static enum rp_decision
 decide_by_latency_target(struct rp_admission *policy,
                          const struct rp_load *load, enum rp_counter *reason)
 {
     if (load->last &&
-        MIN(load->best_share, RpLoad_Share(load)) >= RpLoad_FullShare(load)) {
+        MIN(load->lowest_utilisation, RpLoad_Utilisation(load)) >=
+            RpLoad_RefusalThreshold(load)) {
         *reason = RP_COUNT_REFUSED_BUSY;
-        return RP_VERDICT_REFUSE;
+        return RP_DECISION_REFUSE;
     }
     return decide_by_least_busy(policy, load, reason);
 }
 
 struct rp_admission *
-RpAdmission_CreateBounded(void)
+RpAdmission_CreateLatencyTarget(void)
 {
     static const struct rp_admission_ops ops = {
         .name = "latency-target",
@@ -129,7 +133,7 @@
 }
 
 struct rp_admission *
-RpAdmission_CreateLeast(void)
+RpAdmission_CreateLeastBusy(void)
 {
     static const struct rp_admission_ops ops = {.name = "least-busy",
                                                 .decide = decide_by_least_busy,
--- a/lib/flow/rp_admission.h
+++ b/lib/flow/rp_admission.h
@@ -15,30 +15,30 @@
 #include "rp_counters.h"
 
 /* The utilisation of an upstream is busy / slots in fixed point: a value of
- * RP_SHARE_UNIT means that all slots are busy, and a higher one that requests
- * wait for a slot. */
-#define RP_SHARE_UNIT 16
+ * RP_UTILISATION_UNIT means that all slots are busy, and a higher one that
+ * requests wait for a slot. */
+#define RP_UTILISATION_UNIT 16
 /* As the lowest utilisation of earlier candidates: there are none. */
-#define RP_SHARE_MAX 255
+#define RP_UTILISATION_MAX 255
 
 /* The part of the target latency that a request may spend waiting for a slot,
  * in percent. The rest is for the network and for the request's own service
  * time, whose tail is several times its mean. Requests of high priority may
  * wait longer. */
-#define RP_WAIT_PERCENT_IMPORTANT 70
-#define RP_WAIT_PERCENT_OTHERS 50
+#define RP_WAIT_PERCENT_HIGH_PRIORITY 70
+#define RP_WAIT_PERCENT_LOW_PRIORITY 50
 /* The utilisation from which requests are refused while the service time or
  * the target latency is unknown, and the lowest such limit that the two may
  * give. */
-#define RP_FULL_SHARE_IMPORTANT (4 * RP_SHARE_UNIT)
-#define RP_FULL_SHARE_OTHERS (3 * RP_SHARE_UNIT)
-#define RP_FULL_SHARE_LEAST (2 * RP_SHARE_UNIT)
+#define RP_REFUSAL_THRESHOLD_HIGH_PRIORITY (4 * RP_UTILISATION_UNIT)
+#define RP_REFUSAL_THRESHOLD_LOW_PRIORITY (3 * RP_UTILISATION_UNIT)
+#define RP_REFUSAL_THRESHOLD_MIN (2 * RP_UTILISATION_UNIT)
 /* The utilisation from which a request is refused whose caller has already
  * waited for the target latency: it is admitted only to a free slot. In a
  * queue, it would also delay the requests behind it. */
-#define RP_FULL_SHARE_LATE (1 * RP_SHARE_UNIT)
+#define RP_REFUSAL_THRESHOLD_PAST_TARGET (1 * RP_UTILISATION_UNIT)
 /* Highest priority number that counts as high priority. */
-#define RP_IMPORTANT_PRIORITY 1
+#define RP_HIGH_PRIORITY_MAX 1
 
 /* The upstream's load at the moment of a decision. */
 struct rp_load {
@@ -47,21 +47,21 @@
     uint32_t flows;      /* open flows */
     uint32_t flow_limit; /* most open flows */
     uint32_t position;   /* number of candidates that passed the flow on */
-    uint8_t best_share;  /* among these candidates */
-    bool last;           /* no candidate follows this one */
-    uint32_t priority;   /* of the flow's address; 0 is the highest */
-    uint32_t target_us;  /* target latency of requests; 0: unknown */
-    uint32_t work_us;    /* mean of recent requests; 0: unknown */
-    uint32_t waited_us;  /* since the caller's first SYN; 0: unknown */
+    uint8_t lowest_utilisation; /* among these candidates */
+    bool last;                  /* no candidate follows this one */
+    uint32_t priority;          /* of the flow's address; 0 is the highest */
+    uint32_t target_us;         /* target latency of requests; 0: unknown */
+    uint32_t service_time_us;   /* mean of recent requests; 0: unknown */
+    uint32_t waited_us;         /* since the caller's first SYN; 0: unknown */
 };
 
-enum rp_verdict {
-    RP_VERDICT_TAKE, /* admit the flow here */
-    RP_VERDICT_PASS, /* pass it on to the next candidate */
+enum rp_decision {
+    RP_DECISION_ADMIT,   /* admit the flow here */
+    RP_DECISION_PASS_ON, /* pass it on to the next candidate */
     /* Pass it back to the least busy candidate, which admits it unless it is
      * at its flow limit. */
-    RP_VERDICT_BACK,
-    RP_VERDICT_REFUSE /* reset it: no candidate can serve it in time */
+    RP_DECISION_PASS_BACK,
+    RP_DECISION_REFUSE /* reset it: no candidate can serve it in time */
 };
 
 struct rp_admission;
@@ -69,11 +69,11 @@
 struct rp_admission_ops {
     const char *name;
     /* Decides about a new flow and sets `*reason` to the counter to
-     * increment. Only the last candidate may get RP_VERDICT_BACK or
-     * RP_VERDICT_REFUSE; it never gets RP_VERDICT_PASS. */
-    enum rp_verdict (*decide)(struct rp_admission *policy,
-                              const struct rp_load *load,
-                              enum rp_counter *reason);
+     * increment. Only the last candidate may get RP_DECISION_PASS_BACK or
+     * RP_DECISION_REFUSE; it never gets RP_DECISION_PASS_ON. */
+    enum rp_decision (*decide)(struct rp_admission *policy,
+                               const struct rp_load *load,
+                               enum rp_counter *reason);
     void (*free)(struct rp_admission *policy);
 };
 
@@ -86,31 +86,31 @@
 
 /* Admits a flow while a slot is free. If all candidates are busy, the one
  * with the lowest utilisation admits it. */
-struct rp_admission *RpAdmission_CreateLeast(void);
+struct rp_admission *RpAdmission_CreateLeastBusy(void);
 
 /* Admits a flow while a slot is free; the last candidate always admits it. */
-struct rp_admission *RpAdmission_CreateBound(void);
+struct rp_admission *RpAdmission_CreateFreeSlot(void);
 
-/* Like RpAdmission_CreateLeast, but the last candidate refuses a flow if even
- * the least busy candidate has reached RpLoad_FullShare, so that a request
- * would spend too much of its target latency in the queue. */
-struct rp_admission *RpAdmission_CreateBounded(void);
+/* Like RpAdmission_CreateLeastBusy, but the last candidate refuses a flow if
+ * even the least busy candidate has reached RpLoad_RefusalThreshold, so that a
+ * request would spend too much of its target latency in the queue. */
+struct rp_admission *RpAdmission_CreateLatencyTarget(void);
 
 void RpAdmission_Free(struct rp_admission *policy);
 
 /* Decides about a new flow and sets `*reason` to the counter to increment. At
  * the flow limit the flow is passed on, even by the last candidate; else the
  * policy decides. */
-enum rp_verdict RpAdmission_Decide(struct rp_admission *policy,
-                                   const struct rp_load *load,
-                                   enum rp_counter *reason);
+enum rp_decision RpAdmission_Decide(struct rp_admission *policy,
+                                    const struct rp_load *load,
+                                    enum rp_counter *reason);
 
 /* Returns the utilisation from which a request is refused, if the least busy
  * candidate has reached it. */
-uint32_t RpLoad_FullShare(const struct rp_load *load);
+uint32_t RpLoad_RefusalThreshold(const struct rp_load *load);
 
-/* Returns busy / slots in units of 1 / RP_SHARE_UNIT, at most
- * RP_SHARE_MAX - 1. */
-uint8_t RpLoad_Share(const struct rp_load *load);
+/* Returns busy / slots in units of 1 / RP_UTILISATION_UNIT, at most
+ * RP_UTILISATION_MAX - 1. */
+uint8_t RpLoad_Utilisation(const struct rp_load *load);
 
 #endif
--- a/lib/flow/rp_agent.c
+++ b/lib/flow/rp_agent.c
@@ -93,7 +93,7 @@
 {
     agent->knows_all_flows = true;
     g_array_set_size(agent->lost_flows, 0);
-    RpFlowTable_Collect(agent->flows, RP_FLOW_OWNED, agent->lost_flows);
+    RpFlowTable_CollectFlagged(agent->flows, RP_FLOW_OWNED, agent->lost_flows);
     RpHealth_RecordSuccess(&agent->health, now);
 }
 
@@ -332,7 +332,7 @@
                   const struct rp_packet *packet, struct rp_actions *actions)
 {
     actions->begins_answer = packet->payload_len > 0 &&
-                             (flow->flags & RP_FLOW_AWAITED);
+                             (flow->flags & RP_FLOW_AWAITS_ANSWER);
     actions->answer_us = now - flow->request_since;
     RpAgent_TrackHost(agent, flow, packet, now);
     RpAgent_AddSendAction(agent, actions, RP_ACTION_TO_CALLER,
@@ -344,7 +344,8 @@
 handle_host_packet(struct rp_agent *agent, int64_t now, struct rp_flow *flow,
                    const struct rp_packet *packet, struct rp_actions *actions)
 {
-    static const struct rp_chain no_chain = {.best_share = RP_CHAIN_NO_SHARE};
+    static const struct rp_chain no_chain = {
+        .lowest_utilisation = RP_CHAIN_NO_UTILISATION};
     enum rp_flow_event event = RpAgent_ClassifyHost(packet);
 
     if (event == RP_FLOW_EV_HOST_RST && RpAgent_IsForeignReset(flow, packet)) {
@@ -352,7 +353,8 @@
                           RP_COUNT_DROP_HOST_STRAY);
         return;
     }
-    if (flow->state == RP_FLOW_REDIRECTED && (flow->flags & RP_FLOW_UNSURE) &&
+    if (flow->state == RP_FLOW_REDIRECTED &&
+        (flow->flags & RP_FLOW_MAYBE_AT_HOST) &&
         event != RP_FLOW_EV_HOST_RST && event != RP_FLOW_EV_HOST_RETURNED) {
         /* This agent may have lost the entry of a flow that its host serves.
          * A packet from the host proves ownership, so it overrides the
@@ -464,9 +466,9 @@
         .flows = own.flows,
         .flow_limit = agent->service->flows_per_upstream,
         .position = chain->visited ? chain->visited - 1u : 0,
-        .best_share = chain->best_share,
+        .lowest_utilisation = chain->lowest_utilisation,
         .last = chain->visited >= chain->count,
-        .work_us = (uint32_t)MIN(agent->work.mean_us, UINT32_MAX)};
+        .service_time_us = (uint32_t)MIN(agent->work.mean_us, UINT32_MAX)};
     if (vip) {
         load->priority = vip->priority;
         load->target_us = (uint32_t)MIN(vip->target_ms * RP_US_PER_MS,
--- a/lib/flow/rp_agent_chain.c
+++ b/lib/flow/rp_agent_chain.c
@@ -25,8 +25,8 @@
 {
     const struct rp_member *ranked[RP_MAX_CHAIN];
     uint64_t hash = RpTable_HashFlow(agent->table, caller);
-    size_t count = RpService_Rank(agent->service, hash, states, ranked,
-                                  RP_MAX_CHAIN);
+    size_t count = RpService_RankMembers(agent->service, hash, states, ranked,
+                                         RP_MAX_CHAIN);
 
     for (size_t i = 0; i < count; i++) {
         struct rp_endpoint candidate = ranked[i]->agent;
--- a/lib/flow/rp_agent_classify.c
+++ b/lib/flow/rp_agent_classify.c
@@ -60,7 +60,8 @@
     if (packet->flags & RP_TCP_RST) {
         return RP_FLOW_EV_RST;
     }
-    if (flow->state == RP_FLOW_REDIRECTED && (flow->flags & RP_FLOW_UNSURE)) {
+    if (flow->state == RP_FLOW_REDIRECTED &&
+        (flow->flags & RP_FLOW_MAYBE_AT_HOST)) {
         return RP_FLOW_EV_MAYBE_OWNED;
     }
     return packet->flags & RP_TCP_FIN ? RP_FLOW_EV_FIN : RP_FLOW_EV_DATA;
--- a/lib/flow/rp_agent_flow.c
+++ b/lib/flow/rp_agent_flow.c
@@ -164,12 +164,12 @@
                           (flow->flags & RP_FLOW_RESERVED);
     if (begins_request) {
         flow->request_since = now;
-        flow->flags |= RP_FLOW_AWAITED;
-        flow->flags &= (uint16_t)~RP_FLOW_UNQUEUED;
+        flow->flags |= RP_FLOW_AWAITS_ANSWER;
+        flow->flags &= (uint16_t)~RP_FLOW_FOUND_FREE_SLOT;
     }
     RpAgent_SetBusy(agent, flow, true);
     if (begins_request && agent->busy_flows <= agent->config.slots) {
-        flow->flags |= RP_FLOW_UNQUEUED;
+        flow->flags |= RP_FLOW_FOUND_FREE_SLOT;
     }
     flow->flags &= (uint16_t)~RP_FLOW_RESERVED;
     return begins_request;
@@ -181,9 +181,10 @@
 record_service_time(struct rp_agent *agent, const struct rp_flow *flow,
                     int64_t now)
 {
-    RpWork_Answered(&agent->work, now, agent->busy_flows, agent->config.slots);
-    if (flow->flags & RP_FLOW_UNQUEUED) {
-        RpWork_Took(&agent->work, now - flow->request_since);
+    RpServiceTime_OnAnswer(&agent->work, now, agent->busy_flows,
+                           agent->config.slots);
+    if (flow->flags & RP_FLOW_FOUND_FREE_SLOT) {
+        RpServiceTime_AddSample(&agent->work, now - flow->request_since);
     }
 }
 
@@ -192,8 +193,8 @@
                   const struct rp_packet *packet, int64_t now)
 {
     flow->host_seen = now;
-    if (packet->payload_len > 0 && (flow->flags & RP_FLOW_AWAITED)) {
-        flow->flags &= (uint16_t)~RP_FLOW_AWAITED;
+    if (packet->payload_len > 0 && (flow->flags & RP_FLOW_AWAITS_ANSWER)) {
+        flow->flags &= (uint16_t)~RP_FLOW_AWAITS_ANSWER;
         record_service_time(agent, flow, now);
         RpCounters_Time(agent->counters, RP_HISTOGRAM_FIRST_BYTE,
                         now - flow->request_since);
--- a/lib/flow/rp_agent_gate.c
+++ b/lib/flow/rp_agent_gate.c
@@ -1,6 +1,6 @@
-/* Packet queues for the gate (rp_gate.h). Packets of a request that waits for
- * a slot are queued in order and go to the host together; later segments of
- * the same flow do not overtake them. */
+/* Packet queues for the gate (rp_request_queue.h). Packets of a request that
+ * waits for a slot are queued in order and go to the host together; later
+ * segments of the same flow do not overtake them. */
 #include <assert.h>
 #include <string.h>
 
@@ -19,7 +19,7 @@
 void
 RpAgent_GateCreate(struct rp_agent *agent)
 {
-    agent->gate = RpGate_Create(UINT32_MAX, UINT32_MAX);
+    agent->gate = RpRequestQueue_Create(UINT32_MAX, UINT32_MAX);
     agent->queued_packets = g_hash_table_new_full(
         RpFlowKey_Hash, RpFlowKey_EqualKeys, g_free, free_packets);
     g_queue_init(&agent->released_packets);
@@ -28,7 +28,7 @@
 void
 RpAgent_GateFree(struct rp_agent *agent)
 {
-    RpGate_Free(agent->gate);
+    RpRequestQueue_Free(agent->gate);
     g_hash_table_destroy(agent->queued_packets);
     g_queue_clear_full(&agent->released_packets, g_free);
 }
@@ -41,10 +41,10 @@
     uint32_t slots = agent->config.slots;
 
     if (percent >= ALL_PERCENT) {
-        RpGate_SetSlots(agent->gate, UINT32_MAX, UINT32_MAX);
+        RpRequestQueue_SetSlots(agent->gate, UINT32_MAX, UINT32_MAX);
         return;
     }
-    RpGate_SetSlots(agent->gate, slots, slots * percent / ALL_PERCENT);
+    RpRequestQueue_SetSlots(agent->gate, slots, slots * percent / ALL_PERCENT);
 }
 
 static struct rp_held_packet *
@@ -86,9 +86,9 @@
 static void
 mark_admitted(struct rp_flow *flow, bool is_long, int64_t now)
 {
-    flow->flags &= (uint16_t)~RP_FLOW_GATED;
-    flow->flags |= RP_FLOW_INSIDE;
-    flow->flags |= is_long ? RP_FLOW_INSIDE_LONG : 0;
+    flow->flags &= (uint16_t)~RP_FLOW_QUEUED;
+    flow->flags |= RP_FLOW_STARTED;
+    flow->flags |= is_long ? RP_FLOW_STARTED_LONG : 0;
     flow->request_since = now;
 }
 
@@ -112,30 +112,31 @@
 RpAgent_GateDefersPacket(struct rp_agent *agent, int64_t now,
                          struct rp_flow *flow, const struct rp_packet *packet)
 {
-    bool is_long = flow->flags & RP_FLOW_LONG;
+    bool is_long = flow->flags & RP_FLOW_EXPECT_LONG;
 
-    if (flow->flags & RP_FLOW_GATED) {
+    if (flow->flags & RP_FLOW_QUEUED) {
         if (queue_packet(agent, flow, packet)) {
             return true;
         }
         /* The queue is full: release the queued packets without a slot. This
          * packet is dropped, as it must not overtake them, and the caller
          * sends it again. */
-        RpGate_Cancel(agent->gate, flow->caller);
-        flow->flags &= (uint16_t)~RP_FLOW_GATED;
+        RpRequestQueue_Cancel(agent->gate, flow->caller);
+        flow->flags &= (uint16_t)~RP_FLOW_QUEUED;
         release_packets(agent, flow);
         return true;
     }
-    if (packet->payload_len == 0 || (flow->flags & RP_FLOW_INSIDE) ||
+    if (packet->payload_len == 0 || (flow->flags & RP_FLOW_STARTED) ||
         !(flow->flags & RP_FLOW_OWNED)) {
         return false;
     }
-    if (RpGate_Enter(agent->gate, now, flow->caller, is_long)) {
+    if (RpRequestQueue_StartOrEnqueue(agent->gate, now, flow->caller,
+                                      is_long)) {
         mark_admitted(flow, is_long, now);
         return false;
     }
     RpCounters_Add(agent->counters, RP_COUNT_REQUEST_HELD);
-    flow->flags |= RP_FLOW_GATED;
+    flow->flags |= RP_FLOW_QUEUED;
     queue_packet(agent, flow, packet);
     return true;
 }
@@ -143,26 +144,26 @@
 void
 RpAgent_GateEndRequest(struct rp_agent *agent, struct rp_flow *flow)
 {
-    if (flow->flags & RP_FLOW_INSIDE) {
-        RpGate_Leave(agent->gate, flow->flags & RP_FLOW_INSIDE_LONG);
+    if (flow->flags & RP_FLOW_STARTED) {
+        RpRequestQueue_Finish(agent->gate, flow->flags & RP_FLOW_STARTED_LONG);
     }
-    if (flow->flags & RP_FLOW_GATED) {
-        RpGate_Cancel(agent->gate, flow->caller);
+    if (flow->flags & RP_FLOW_QUEUED) {
+        RpRequestQueue_Cancel(agent->gate, flow->caller);
         release_packets(agent, flow);
     }
-    flow->flags &= (uint16_t) ~(RP_FLOW_INSIDE | RP_FLOW_INSIDE_LONG |
-                                RP_FLOW_GATED);
+    flow->flags &= (uint16_t) ~(RP_FLOW_STARTED | RP_FLOW_STARTED_LONG |
+                                RP_FLOW_QUEUED);
 }
 
 void
 RpAgent_GateRecordAnswer(struct rp_flow *flow, int64_t now)
 {
-    if (!(flow->flags & RP_FLOW_INSIDE)) {
+    if (!(flow->flags & RP_FLOW_STARTED)) {
         return;
     }
-    flow->flags &= (uint16_t)~RP_FLOW_LONG;
+    flow->flags &= (uint16_t)~RP_FLOW_EXPECT_LONG;
     if (now - flow->request_since >= RP_LONG_REQUEST_US) {
-        flow->flags |= RP_FLOW_LONG;
+        flow->flags |= RP_FLOW_EXPECT_LONG;
     }
 }
 
@@ -174,11 +175,11 @@
     struct rp_flow_key caller;
     bool is_long;
 
-    if (!RpGate_Next(agent->gate, now, &caller, &is_long)) {
+    if (!RpRequestQueue_StartNext(agent->gate, now, &caller, &is_long)) {
         return false;
     }
     struct rp_flow *flow = RpFlowTable_Find(agent->flows, caller);
-    assert(flow && (flow->flags & RP_FLOW_GATED));
+    assert(flow && (flow->flags & RP_FLOW_QUEUED));
     RpCounters_Time(agent->counters, RP_HISTOGRAM_REQUEST_KEPT,
                     now - flow->request_since);
     mark_admitted(flow, is_long, now);
--- a/lib/flow/rp_agent_internal.h
+++ b/lib/flow/rp_agent_internal.h
@@ -7,11 +7,11 @@
 #include "rp_agent.h"
 #include "rp_flow_chart.h"
 #include "rp_flow_table.h"
-#include "rp_gate.h"
+#include "rp_request_queue.h"
 #include "rp_health.h"
 #include "rp_hold.h"
 #include "rp_time.h"
-#include "rp_work.h"
+#include "rp_service_time.h"
 
 /* Time that a host has to answer a SYN before the next candidate is tried. */
 #define RP_HOST_ANSWER_TIMEOUT_US (250 * RP_US_PER_MS)
@@ -65,18 +65,18 @@
     struct rp_hold *hold;
     /* The packet that the actions of the last call point into, or NULL. */
     struct rp_held_packet *action_packet;
-    struct rp_gate *gate;
+    struct rp_request_queue *gate;
     /* Packets that the gate delays: caller -> GQueue of rp_held_packet. */
     GHashTable *queued_packets;
-    size_t queued_bytes;        /* of the packets in `queued_packets` */
-    GQueue released_packets;    /* of rp_held_packet, to send to the host */
-    GQueue short_timers;        /* of struct rp_flow_timer: state deadlines */
-    GQueue reservations;        /* of struct rp_flow_timer: reserved slots */
-    uint32_t owned_flows;       /* flows with RP_FLOW_OWNED */
-    uint32_t busy_flows;        /* flows with RP_FLOW_BUSY */
-    struct rp_work work;        /* time that a request occupies a slot */
-    int32_t retry_budget_cents; /* retry budget, in hundredths of a retry */
-    int64_t next_scan;          /* when the flow table is scanned next */
+    size_t queued_bytes;         /* of the packets in `queued_packets` */
+    GQueue released_packets;     /* of rp_held_packet, to send to the host */
+    GQueue short_timers;         /* of struct rp_flow_timer: state deadlines */
+    GQueue reservations;         /* of struct rp_flow_timer: reserved slots */
+    uint32_t owned_flows;        /* flows with RP_FLOW_OWNED */
+    uint32_t busy_flows;         /* flows with RP_FLOW_BUSY */
+    struct rp_service_time work; /* time that a request occupies a slot */
+    int32_t retry_budget_cents;  /* retry budget, in hundredths of a retry */
+    int64_t next_scan;           /* when the flow table is scanned next */
 };
 
 /* Starts a call: empties `actions` and frees the packet that the actions of
--- a/lib/flow/rp_agent_open.c
+++ b/lib/flow/rp_agent_open.c
@@ -49,13 +49,13 @@
     flow->next_hop = next;
     if (!agent->knows_all_flows &&
         now < agent->config.started + RP_SYN_LIFETIME_US) {
-        flow->flags |= RP_FLOW_UNSURE;
+        flow->flags |= RP_FLOW_MAYBE_AT_HOST;
     }
 }
 
 /* Decides whether this agent takes a new flow; `*reason` is the counter of
  * the decision. */
-static enum rp_verdict
+static enum rp_decision
 get_admission_verdict(struct rp_agent *agent, int64_t now,
                       const struct rp_packet *packet,
                       const struct rp_chain *chain, enum rp_counter *reason)
@@ -65,11 +65,11 @@
     if (agent->draining || agent->host_state == RP_HOST_DRAINING ||
         agent->host_state == RP_HOST_GONE) {
         *reason = RP_COUNT_PASS_DRAINING;
-        return RP_VERDICT_PASS;
+        return RP_DECISION_PASS_ON;
     }
     if (agent->host_state == RP_HOST_UNKNOWN) {
         *reason = RP_COUNT_PASS_HOST_UNKNOWN;
-        return RP_VERDICT_PASS;
+        return RP_DECISION_PASS_ON;
     }
     RpAgent_FillLoad(agent, now, RpFlowKey_Target(packet->key), chain, &load);
     load.waited_us = packet->waited_us;
@@ -77,11 +77,11 @@
      * other is left. */
     if (!load.last && !RpHealth_AllowsNewFlow(&agent->health, now)) {
         *reason = RP_COUNT_PASS_UNHEALTHY;
-        return RP_VERDICT_PASS;
+        return RP_DECISION_PASS_ON;
     }
     if (chain->forced && load.flows < load.flow_limit) {
         *reason = RP_COUNT_FLOW_ADMITTED_LAST;
-        return RP_VERDICT_TAKE;
+        return RP_DECISION_ADMIT;
     }
     return RpAdmission_Decide(agent->policy, &load, reason);
 }
@@ -127,9 +127,9 @@
     struct rp_load load;
 
     RpAgent_FillLoad(agent, now, address, chain, &load);
-    uint8_t share = RpLoad_Share(&load);
-    if (chain->visited > 0 && share < chain->best_share) {
-        chain->best_share = share;
+    uint8_t share = RpLoad_Utilisation(&load);
+    if (chain->visited > 0 && share < chain->lowest_utilisation) {
+        chain->lowest_utilisation = share;
         chain->best = chain->visited - 1;
     }
 }
@@ -232,14 +232,14 @@
                         struct rp_actions *actions)
 {
     enum rp_counter reason;
-    enum rp_verdict verdict = get_admission_verdict(agent, now, packet, chain,
-                                                    &reason);
+    enum rp_decision verdict = get_admission_verdict(agent, now, packet, chain,
+                                                     &reason);
 
-    if (verdict == RP_VERDICT_REFUSE) {
+    if (verdict == RP_DECISION_REFUSE) {
         refuse_syn(agent, flow, packet, reason, actions);
         return;
     }
-    if (verdict != RP_VERDICT_TAKE) {
+    if (verdict != RP_DECISION_ADMIT) {
         forward_syn(agent, now, flow, packet, chain, reason, actions);
         return;
     }
@@ -374,16 +374,19 @@
     uint64_t hash = RpTable_HashFlow(agent->table, packet->key);
 
     for (size_t i = 0; vip && !chain->forced && i < vip->count; i++) {
-        const struct rp_service *service = RpTable_FindId(
+        const struct rp_service *service = RpTable_FindById(
             agent->table, vip->targets[i].service_id);
         const struct rp_member *candidates[RP_MAX_CHAIN];
         struct rp_chain sibling_chain = {
-            .best_share = RP_CHAIN_NO_SHARE, .forced = true, .visited = 1};
+            .lowest_utilisation = RP_CHAIN_NO_UTILISATION,
+            .forced = true,
+            .visited = 1};
         if (!service || service == agent->service) {
             continue;
         }
-        size_t count = RpService_Rank(service, hash, RP_MEMBERS_SERVING,
-                                      candidates, RP_CHAIN_LENGTH);
+        size_t count = RpService_RankMembers(service, hash, RP_MEMBERS_SERVING,
+                                             candidates,
+                                             RP_ROUTE_MAX_CANDIDATES);
         for (size_t j = 0; j < count; j++) {
             RpChain_Append(&sibling_chain, candidates[j]->agent);
         }
@@ -406,8 +409,8 @@
                      const struct rp_packet *packet,
                      struct rp_actions *actions)
 {
-    if (flow && !(flow->flags & RP_FLOW_ORPHAN)) {
-        flow->flags |= RP_FLOW_ORPHAN;
+    if (flow && !(flow->flags & RP_FLOW_OWNER_UNKNOWN)) {
+        flow->flags |= RP_FLOW_OWNER_UNKNOWN;
         flow->host_seen = now;
     }
     bool keep_waiting = flow &&
@@ -454,7 +457,7 @@
     }
     if (flow && flow->state == RP_FLOW_REDIRECTED) {
         flow->next_hop = next;
-        flow->flags &= (uint16_t)~RP_FLOW_ORPHAN;
+        flow->flags &= (uint16_t)~RP_FLOW_OWNER_UNKNOWN;
         flow->deadline = now + RP_REDIRECT_TIMEOUT_US;
     }
     const uint8_t *data = packet->data;
--- a/lib/flow/rp_agent_timer.c
+++ b/lib/flow/rp_agent_timer.c
@@ -79,13 +79,15 @@
 scan_for_expired_flow(struct rp_agent *agent, int64_t now)
 {
     struct rp_flow_key caller;
-    size_t bucket_count = RpFlowTable_Places(agent->flows) / SCANS_PER_TABLE;
+    size_t bucket_count = RpFlowTable_CountBuckets(agent->flows) /
+                          SCANS_PER_TABLE;
 
     if (now < agent->next_scan) {
         return NULL;
     }
-    if (RpFlowTable_Due(agent->flows, now, MAX(bucket_count, MIN_SCAN_BUCKETS),
-                        &caller, 1) == 0) {
+    if (RpFlowTable_CollectExpired(agent->flows, now,
+                                   MAX(bucket_count, MIN_SCAN_BUCKETS),
+                                   &caller, 1) == 0) {
         agent->next_scan = now + SCAN_INTERVAL_US;
         return NULL;
     }
@@ -134,7 +136,7 @@
     if (RpFlowTable_Count(agent->flows) > 0) {
         next = MIN(next, agent->next_scan);
     }
-    return MIN(next, RpGate_NextDeadline(agent->gate));
+    return MIN(next, RpRequestQueue_NextDeadline(agent->gate));
 }
 
 bool
--- a/lib/flow/rp_balancer.c
+++ b/lib/flow/rp_balancer.c
@@ -10,18 +10,20 @@
                   uint64_t hash, unsigned states)
 {
     const struct rp_member *ranked[RP_MAX_CHAIN];
-    size_t count = RpService_Rank(service, hash, states, ranked, RP_MAX_CHAIN);
+    size_t count = RpService_RankMembers(service, hash, states, ranked,
+                                         RP_MAX_CHAIN);
     bool all_in_zone = true;
 
-    for (size_t i = 0; i < count && chain->count < RP_CHAIN_LENGTH; i++) {
-        bool is_last = chain->count == RP_CHAIN_LENGTH - 1;
+    for (size_t i = 0; i < count && chain->count < RP_ROUTE_MAX_CANDIDATES;
+         i++) {
+        bool is_last = chain->count == RP_ROUTE_MAX_CANDIDATES - 1;
         size_t pick = i;
         while (is_last && all_in_zone && pick < count &&
-               ranked[pick]->is_near) {
+               ranked[pick]->in_preferred_zone) {
             pick++;
         }
         pick = pick < count ? pick : i;
-        all_in_zone = all_in_zone && ranked[pick]->is_near;
+        all_in_zone = all_in_zone && ranked[pick]->in_preferred_zone;
         RpChain_Append(chain, ranked[pick]->agent);
     }
 }
@@ -46,14 +48,16 @@
     struct rp_endpoint address = RpFlowKey_Target(packet->key);
     bool opens = RpPacket_Opens(packet);
 
-    *route = (struct rp_route){.kind = RP_ROUTE_DROP,
-                               .chain = {.best_share = RP_CHAIN_NO_SHARE}};
+    *route = (struct rp_route){
+        .kind = RP_ROUTE_DROP,
+        .chain = {.lowest_utilisation = RP_CHAIN_NO_UTILISATION}};
     if (RpTable_Revision(table) == 0) {
         route->reason = RP_COUNT_DROP_NO_TABLE;
         return;
     }
     uint64_t hash = RpTable_HashFlow(table, packet->key);
-    const struct rp_service *service = RpTable_Resolve(table, address, hash);
+    const struct rp_service *service = RpTable_SelectService(table, address,
+                                                             hash);
     if (!service) {
         route->reason = RP_COUNT_DROP_UNKNOWN_ADDRESS;
         return;
@@ -71,7 +75,7 @@
         route->kind = RP_ROUTE_SEND;
         route->reason = RP_COUNT_ROUTED;
     }
-    else if (opens && !RpTable_IsGathering(table)) {
+    else if (opens && !RpTable_MayLackMembers(table)) {
         route->kind = RP_ROUTE_RESET;
         route->reason = RP_COUNT_RESET_NO_MEMBER;
     }
--- a/lib/flow/rp_flow_table.c
+++ b/lib/flow/rp_flow_table.c
@@ -160,7 +160,7 @@
 }
 
 size_t
-RpFlowTable_Places(const struct rp_flow_table *table)
+RpFlowTable_CountBuckets(const struct rp_flow_table *table)
 {
     size_t bucket_count = 0;
 
@@ -173,12 +173,13 @@
 size_t
 RpFlowTable_Bytes(const struct rp_flow_table *table)
 {
-    return sizeof *table + RpFlowTable_Places(table) * sizeof(struct rp_flow);
+    return sizeof *table +
+           RpFlowTable_CountBuckets(table) * sizeof(struct rp_flow);
 }
 
 void
-RpFlowTable_Collect(const struct rp_flow_table *table, uint16_t flags,
-                    GArray *out)
+RpFlowTable_CollectFlagged(const struct rp_flow_table *table, uint16_t flags,
+                           GArray *out)
 {
     for (size_t i = 0; i < RP_FLOW_SHARDS; i++) {
         const struct shard *shard = &table->shards[i];
@@ -192,8 +193,8 @@
 }
 
 size_t
-RpFlowTable_Due(struct rp_flow_table *table, int64_t now, size_t budget,
-                struct rp_flow_key *out, size_t max)
+RpFlowTable_CollectExpired(struct rp_flow_table *table, int64_t now,
+                           size_t budget, struct rp_flow_key *out, size_t max)
 {
     size_t found = 0;
 
--- a/lib/flow/rp_flow_table.h
+++ b/lib/flow/rp_flow_table.h
@@ -30,21 +30,21 @@
 /* The flow counts as busy for a request that has not come yet. */
 #define RP_FLOW_RESERVED 0x20
 /* The flow was passed on, but this agent's host may have it. */
-#define RP_FLOW_UNSURE 0x40
+#define RP_FLOW_MAYBE_AT_HOST 0x40
 /* No owner has been found since `host_seen`. */
-#define RP_FLOW_ORPHAN 0x80
-/* The request waits for a slot (rp_gate.h). */
-#define RP_FLOW_GATED 0x100
-/* The request was started (rp_gate.h). */
-#define RP_FLOW_INSIDE 0x200
+#define RP_FLOW_OWNER_UNKNOWN 0x80
+/* The request waits for a slot (rp_request_queue.h). */
+#define RP_FLOW_QUEUED 0x100
+/* The request was started (rp_request_queue.h). */
+#define RP_FLOW_STARTED 0x200
 /* The request was started as a long one. */
-#define RP_FLOW_INSIDE_LONG 0x400
+#define RP_FLOW_STARTED_LONG 0x400
 /* The last answer was slow, so the next request counts as long. */
-#define RP_FLOW_LONG 0x800
+#define RP_FLOW_EXPECT_LONG 0x800
 /* No byte of the answer has come yet. */
-#define RP_FLOW_AWAITED 0x1000
+#define RP_FLOW_AWAITS_ANSWER 0x1000
 /* A slot was free when the request came. */
-#define RP_FLOW_UNQUEUED 0x2000
+#define RP_FLOW_FOUND_FREE_SLOT 0x2000
 
 /* One flow. Times are in microseconds on the monotonic clock. */
 struct rp_flow {
@@ -94,15 +94,16 @@
  * Examines up to `budget` buckets, from where the last call ended, so that
  * repeated calls cover the whole table. Moving on to the next shard also
  * counts as one bucket. Returns the number of keys. */
-size_t RpFlowTable_Due(struct rp_flow_table *table, int64_t now, size_t budget,
-                       struct rp_flow_key *out, size_t max);
+size_t RpFlowTable_CollectExpired(struct rp_flow_table *table, int64_t now,
+                                  size_t budget, struct rp_flow_key *out,
+                                  size_t max);
 
 /* Appends the keys of the flows that have any of `flags` to `out`, an array
  * of struct rp_flow_key. */
-void RpFlowTable_Collect(const struct rp_flow_table *table, uint16_t flags,
-                         GArray *out);
+void RpFlowTable_CollectFlagged(const struct rp_flow_table *table,
+                                uint16_t flags, GArray *out);
 
 /* Returns the number of buckets, including free ones. */
-size_t RpFlowTable_Places(const struct rp_flow_table *table);
+size_t RpFlowTable_CountBuckets(const struct rp_flow_table *table);
 
 #endif
--- a/lib/flow/rp_gate.c
+++ b/lib/flow/rp_request_queue.c
@@ -1,4 +1,4 @@
-#include "rp_gate.h"
+#include "rp_request_queue.h"
 
 #include <assert.h>
 #include <glib.h>
@@ -9,7 +9,7 @@
     int64_t deadline;
 };
 
-struct rp_gate {
+struct rp_request_queue {
     uint32_t slots;
     uint32_t long_slots;
     uint32_t active;      /* started requests, including long ones */
@@ -18,19 +18,19 @@
     GQueue waiting_long;  /* of struct waiting_request, oldest first */
 };
 
-struct rp_gate *
-RpGate_Create(uint32_t slots, uint32_t long_slots)
+struct rp_request_queue *
+RpRequestQueue_Create(uint32_t slots, uint32_t long_slots)
 {
-    struct rp_gate *queue = g_new0(struct rp_gate, 1);
+    struct rp_request_queue *queue = g_new0(struct rp_request_queue, 1);
 
     g_queue_init(&queue->waiting_short);
     g_queue_init(&queue->waiting_long);
-    RpGate_SetSlots(queue, slots, long_slots);
+    RpRequestQueue_SetSlots(queue, slots, long_slots);
     return queue;
 }
 
 void
-RpGate_Free(struct rp_gate *queue)
+RpRequestQueue_Free(struct rp_request_queue *queue)
 {
     if (queue) {
         g_queue_clear_full(&queue->waiting_short, g_free);
@@ -40,46 +40,48 @@
 }
 
 void
-RpGate_SetSlots(struct rp_gate *queue, uint32_t slots, uint32_t long_slots)
+RpRequestQueue_SetSlots(struct rp_request_queue *queue, uint32_t slots,
+                        uint32_t long_slots)
 {
     queue->slots = MAX(slots, 1);
     queue->long_slots = CLAMP(long_slots, 1, queue->slots);
 }
 
 static bool
-has_free_slot(const struct rp_gate *queue, bool is_long)
+has_free_slot(const struct rp_request_queue *queue, bool is_long)
 {
     return queue->active < queue->slots &&
            (!is_long || queue->active_long < queue->long_slots);
 }
 
 static void
-occupy_slot(struct rp_gate *queue, bool is_long)
+occupy_slot(struct rp_request_queue *queue, bool is_long)
 {
     queue->active++;
     queue->active_long += is_long;
 }
 
 bool
-RpGate_Enter(struct rp_gate *queue, int64_t now, struct rp_flow_key caller,
-             bool is_long)
+RpRequestQueue_StartOrEnqueue(struct rp_request_queue *queue, int64_t now,
+                              struct rp_flow_key caller, bool is_long)
 {
     GQueue *fifo = is_long ? &queue->waiting_long : &queue->waiting_short;
     bool can_start = fifo->length == 0 && has_free_slot(queue, is_long);
 
-    if (can_start || RpGate_Kept(queue) >= RP_GATE_MAX) {
+    if (can_start ||
+        RpRequestQueue_CountWaiting(queue) >= RP_REQUEST_QUEUE_MAX) {
         occupy_slot(queue, is_long);
         return true;
     }
     struct waiting_request *request = g_new(struct waiting_request, 1);
     request->caller = caller;
-    request->deadline = now + RP_GATE_HOLD_US;
+    request->deadline = now + RP_REQUEST_MAX_WAIT_US;
     g_queue_push_tail(fifo, request);
     return false;
 }
 
 void
-RpGate_Leave(struct rp_gate *queue, bool is_long)
+RpRequestQueue_Finish(struct rp_request_queue *queue, bool is_long)
 {
     assert(queue->active > 0 && (!is_long || queue->active_long > 0));
     queue->active--;
@@ -95,7 +97,7 @@
 }
 
 static void
-start_first(struct rp_gate *queue, GQueue *fifo, bool is_long,
+start_first(struct rp_request_queue *queue, GQueue *fifo, bool is_long,
             struct rp_flow_key *caller)
 {
     struct waiting_request *first = g_queue_pop_head(fifo);
@@ -106,8 +108,8 @@
 }
 
 bool
-RpGate_Next(struct rp_gate *queue, int64_t now, struct rp_flow_key *caller,
-            bool *is_long)
+RpRequestQueue_StartNext(struct rp_request_queue *queue, int64_t now,
+                         struct rp_flow_key *caller, bool *is_long)
 {
     bool start_short = queue->waiting_short.length > 0 &&
                        (has_free_slot(queue, false) ||
@@ -141,7 +143,8 @@
 }
 
 bool
-RpGate_Cancel(struct rp_gate *queue, struct rp_flow_key caller)
+RpRequestQueue_Cancel(struct rp_request_queue *queue,
+                      struct rp_flow_key caller)
 {
     return remove_waiting(&queue->waiting_short, caller) ||
            remove_waiting(&queue->waiting_long, caller);
@@ -156,20 +159,20 @@
 }
 
 int64_t
-RpGate_NextDeadline(const struct rp_gate *queue)
+RpRequestQueue_NextDeadline(const struct rp_request_queue *queue)
 {
     return MIN(first_deadline(&queue->waiting_short),
                first_deadline(&queue->waiting_long));
 }
 
 uint32_t
-RpGate_Kept(const struct rp_gate *queue)
+RpRequestQueue_CountWaiting(const struct rp_request_queue *queue)
 {
     return queue->waiting_short.length + queue->waiting_long.length;
 }
 
 uint32_t
-RpGate_Inside(const struct rp_gate *queue)
+RpRequestQueue_CountStarted(const struct rp_request_queue *queue)
 {
     return queue->active;
 }
--- a/lib/flow/rp_gate.h
+++ b/lib/flow/rp_request_queue.h
@@ -8,8 +8,8 @@
  * be long occupy at most some of the slots. No request is dropped: at its
  * deadline a waiting request starts even if no slot is free.
  */
-#ifndef RP_GATE_H
-#define RP_GATE_H
+#ifndef RP_REQUEST_QUEUE_H
+#define RP_REQUEST_QUEUE_H
 
 #include <stdbool.h>
 #include <stdint.h>
@@ -18,49 +18,51 @@
 #include "rp_time.h"
 
 /* Longest time that a request waits, in microseconds. */
-#define RP_GATE_HOLD_US (2 * RP_US_PER_SECOND)
-#define RP_GATE_MAX 4096 /* most requests waiting */
+#define RP_REQUEST_MAX_WAIT_US (2 * RP_US_PER_SECOND)
+#define RP_REQUEST_QUEUE_MAX 4096 /* most requests waiting */
 
-struct rp_gate;
+struct rp_request_queue;
 
 /* Creates the queue of a host with `slots` slots, of which long requests may
- * occupy `long_slots`. Release it with RpGate_Free. */
-struct rp_gate *RpGate_Create(uint32_t slots, uint32_t long_slots);
+ * occupy `long_slots`. Release it with RpRequestQueue_Free. */
+struct rp_request_queue *RpRequestQueue_Create(uint32_t slots,
+                                               uint32_t long_slots);
 
-void RpGate_Free(struct rp_gate *queue);
+void RpRequestQueue_Free(struct rp_request_queue *queue);
 
 /* Changes the number of slots, for example during a cold start. Both numbers
  * become at least 1, and `long_slots` at most `slots`. */
-void RpGate_SetSlots(struct rp_gate *queue, uint32_t slots,
-                     uint32_t long_slots);
+void RpRequestQueue_SetSlots(struct rp_request_queue *queue, uint32_t slots,
+                             uint32_t long_slots);
 
 /* Adds a new request of `caller`. Returns true if it starts now, as there is
- * a free slot and no request of its kind is waiting, or as RP_GATE_MAX
- * requests are waiting. Returns false if it waits until RpGate_Next returns
- * its caller. `now` is in microseconds. */
-bool RpGate_Enter(struct rp_gate *queue, int64_t now,
-                  struct rp_flow_key caller, bool is_long);
+ * a free slot and no request of its kind is waiting, or as
+ * RP_REQUEST_QUEUE_MAX requests are waiting. Returns false if it waits until
+ * RpRequestQueue_StartNext returns its caller. `now` is in microseconds. */
+bool RpRequestQueue_StartOrEnqueue(struct rp_request_queue *queue, int64_t now,
+                                   struct rp_flow_key caller, bool is_long);
 
 /* Frees the slot of a started request that is answered or has ended without
  * an answer. `is_long` must be as it was when the request started. */
-void RpGate_Leave(struct rp_gate *queue, bool is_long);
+void RpRequestQueue_Finish(struct rp_request_queue *queue, bool is_long);
 
 /* Starts the next waiting request that has a free slot or whose deadline has
  * passed. Returns false if there is none. `*is_long` becomes the value that
- * RpGate_Enter got. */
-bool RpGate_Next(struct rp_gate *queue, int64_t now,
-                 struct rp_flow_key *caller, bool *is_long);
+ * RpRequestQueue_StartOrEnqueue got. */
+bool RpRequestQueue_StartNext(struct rp_request_queue *queue, int64_t now,
+                              struct rp_flow_key *caller, bool *is_long);
 
 /* Removes a waiting request. Returns false if `caller` has none. */
-bool RpGate_Cancel(struct rp_gate *queue, struct rp_flow_key caller);
+bool RpRequestQueue_Cancel(struct rp_request_queue *queue,
+                           struct rp_flow_key caller);
 
 /* Returns the earliest deadline of the waiting requests, or RP_NEVER. */
-int64_t RpGate_NextDeadline(const struct rp_gate *queue);
+int64_t RpRequestQueue_NextDeadline(const struct rp_request_queue *queue);
 
 /* Returns the number of waiting requests. */
-uint32_t RpGate_Kept(const struct rp_gate *queue);
+uint32_t RpRequestQueue_CountWaiting(const struct rp_request_queue *queue);
 
 /* Returns the number of started requests, which occupy slots. */
-uint32_t RpGate_Inside(const struct rp_gate *queue);
+uint32_t RpRequestQueue_CountStarted(const struct rp_request_queue *queue);
 
 #endif
--- a/lib/flow/rp_work.c
+++ b/lib/flow/rp_service_time.c
@@ -1,24 +1,24 @@
-#include "rp_work.h"
+#include "rp_service_time.h"
 
 #include <glib.h>
 
 static void
-update_mean(struct rp_work *estimate, int64_t sample_us)
+update_mean(struct rp_service_time *estimate, int64_t sample_us)
 {
-    estimate->samples = MIN(estimate->samples + 1, RP_WORK_SHARE);
+    estimate->samples = MIN(estimate->samples + 1, RP_SERVICE_TIME_WINDOW);
     estimate->mean_us += (sample_us - estimate->mean_us) /
                          (int64_t)estimate->samples;
 }
 
 void
-RpWork_Took(struct rp_work *estimate, int64_t took_us)
+RpServiceTime_AddSample(struct rp_service_time *estimate, int64_t took_us)
 {
     update_mean(estimate, took_us);
 }
 
 void
-RpWork_Answered(struct rp_work *estimate, int64_t now, uint32_t busy,
-                uint32_t slots)
+RpServiceTime_OnAnswer(struct rp_service_time *estimate, int64_t now,
+                       uint32_t busy, uint32_t slots)
 {
     if (estimate->was_full) {
         update_mean(estimate, (now - estimate->last_answer) * slots);
--- a/lib/flow/rp_table.c
+++ b/lib/flow/rp_table.c
@@ -104,13 +104,13 @@
     uint64_t weight = member->slots;
     if (RpName_Equal(&table->preferred_zone, &from->zone)) {
         weight *= table->zone_weight;
-        member->is_near = true;
+        member->in_preferred_zone = true;
     }
-    member->inverse_slots = (uint32_t)MIN(INVERSE_SCALE / weight, UINT32_MAX);
+    member->inverse_weight = (uint32_t)MIN(INVERSE_SCALE / weight, UINT32_MAX);
     member->state = (enum rp_upstream_state)from->state;
     crypto_shorthash(seed, (const uint8_t *)from->upstream.data,
                      from->upstream.len, seed_key);
-    member->seed = RpBytes_Get64(seed);
+    member->name_hash = RpBytes_Get64(seed);
 }
 
 static bool
@@ -269,7 +269,7 @@
 }
 
 bool
-RpTable_IsGathering(const struct rp_table *table)
+RpTable_MayLackMembers(const struct rp_table *table)
 {
     return table->may_lack_members;
 }
@@ -306,13 +306,13 @@
 }
 
 size_t
-RpTable_Count(const struct rp_table *table)
+RpTable_CountServices(const struct rp_table *table)
 {
     return g_hash_table_size(table->by_id);
 }
 
 const struct rp_service *
-RpTable_Find(const struct rp_table *table, struct rp_endpoint address)
+RpTable_FindByAddress(const struct rp_table *table, struct rp_endpoint address)
 {
     guint64 key = RpEndpoint_Key(address);
 
@@ -328,13 +328,13 @@
 }
 
 const struct rp_service *
-RpTable_FindId(const struct rp_table *table, uint32_t id)
+RpTable_FindById(const struct rp_table *table, uint32_t id)
 {
     return g_hash_table_lookup(table->by_id, GUINT_TO_POINTER(id));
 }
 
 const struct rp_service *
-RpTable_FindName(const struct rp_table *table, const struct rp_name *name)
+RpTable_FindByName(const struct rp_table *table, const struct rp_name *name)
 {
     GHashTableIter iter;
     gpointer value;
@@ -399,19 +399,19 @@
 static uint64_t
 compute_score(const struct rp_member *member, uint64_t flow_hash)
 {
-    uint32_t draw = negative_log2(mix_bits(flow_hash ^ member->seed));
+    uint32_t draw = negative_log2(mix_bits(flow_hash ^ member->name_hash));
 
-    return (uint64_t)draw * member->inverse_slots;
+    return (uint64_t)draw * member->inverse_weight;
 }
 
 const struct rp_service *
-RpTable_Resolve(const struct rp_table *table, struct rp_endpoint address,
-                uint64_t flow_hash)
+RpTable_SelectService(const struct rp_table *table, struct rp_endpoint address,
+                      uint64_t flow_hash)
 {
     const struct rp_vip *vip = RpTable_FindVip(table, address);
 
     if (!vip || vip->weight_sum == 0) {
-        return RpTable_Find(table, address);
+        return RpTable_FindByAddress(table, address);
     }
     uint64_t draw = mix_bits(flow_hash) % vip->weight_sum;
     size_t i = 0;
@@ -423,8 +423,9 @@
 }
 
 size_t
-RpService_Rank(const struct rp_service *service, uint64_t flow_hash,
-               unsigned states, const struct rp_member **out, size_t max)
+RpService_RankMembers(const struct rp_service *service, uint64_t flow_hash,
+                      unsigned states, const struct rp_member **out,
+                      size_t max)
 {
     uint64_t scores[RP_MAX_CHAIN];
     size_t count = 0;
--- a/lib/flow/rp_table.h
+++ b/lib/flow/rp_table.h
@@ -24,9 +24,9 @@
 #include "rp_packet.h"
 
 /* Most candidates that a balancer lists for a flow. */
-#define RP_CHAIN_LENGTH 3
+#define RP_ROUTE_MAX_CANDIDATES 3
 
-/* Bit sets of member states, for RpService_Rank. */
+/* Bit sets of member states, for RpService_RankMembers. */
 #define RP_MEMBERS_READY (1u << RP_UPSTREAM_READY)
 #define RP_MEMBERS_SERVING                                                    \
     (1u << RP_UPSTREAM_READY | 1u << RP_UPSTREAM_DRAINING)
@@ -36,11 +36,11 @@
 struct rp_member {
     struct rp_name name;
     struct rp_endpoint agent;
-    uint32_t slots;         /* requests that it serves at once */
-    uint32_t inverse_slots; /* 2^32 / (slots * zone weight) */
-    uint64_t seed;
+    uint32_t slots;          /* requests that it serves at once */
+    uint32_t inverse_weight; /* 2^32 / (slots * zone weight) */
+    uint64_t name_hash;
     enum rp_upstream_state state;
-    bool is_near;
+    bool in_preferred_zone;
 };
 
 /* A virtual address of the configuration in force. Flows to it are
@@ -95,17 +95,17 @@
 
 /* Returns whether the table may lack members because the control replica
  * that sent it has just started and has not heard from all upstreams yet. */
-bool RpTable_IsGathering(const struct rp_table *table);
+bool RpTable_MayLackMembers(const struct rp_table *table);
 
 /* Returns the configuration revision in force; 0 before the first table. */
 uint64_t RpTable_Revision(const struct rp_table *table);
 
 /* Returns the number of services. */
-size_t RpTable_Count(const struct rp_table *table);
+size_t RpTable_CountServices(const struct rp_table *table);
 
 /* Returns the service whose own address is `address`, or NULL. */
-const struct rp_service *RpTable_Find(const struct rp_table *table,
-                                      struct rp_endpoint address);
+const struct rp_service *RpTable_FindByAddress(const struct rp_table *table,
+                                               struct rp_endpoint address);
 
 /* Returns the virtual address entry for `address`, or NULL. NULL does not
  * exclude that a service has this address as its own. */
@@ -117,17 +117,17 @@
  * them in proportion to the weights; else the service with that address is
  * returned. NULL if there is neither, or if the table lacks the selected
  * service. */
-const struct rp_service *RpTable_Resolve(const struct rp_table *table,
-                                         struct rp_endpoint address,
-                                         uint64_t flow_hash);
+const struct rp_service *RpTable_SelectService(const struct rp_table *table,
+                                               struct rp_endpoint address,
+                                               uint64_t flow_hash);
 
 /* Returns the service with this id, or NULL. */
-const struct rp_service *RpTable_FindId(const struct rp_table *table,
-                                        uint32_t id);
+const struct rp_service *RpTable_FindById(const struct rp_table *table,
+                                          uint32_t id);
 
 /* Returns the service with this name, or NULL. */
-const struct rp_service *RpTable_FindName(const struct rp_table *table,
-                                          const struct rp_name *name);
+const struct rp_service *RpTable_FindByName(const struct rp_table *table,
+                                            const struct rp_name *name);
 
 /* Returns the flow's keyed hash (SipHash-2-4). All instances with the same
  * hash key compute the same value. The source of `key` is the caller. */
@@ -137,8 +137,8 @@
 /* Ranks the members whose state is in `states` for a flow and writes the
  * best `max` (at most RP_MAX_CHAIN) to `out`, best first. Returns their
  * number. The pointers are valid until the table changes. */
-size_t RpService_Rank(const struct rp_service *service, uint64_t flow_hash,
-                      unsigned states, const struct rp_member **out,
-                      size_t max);
+size_t RpService_RankMembers(const struct rp_service *service,
+                             uint64_t flow_hash, unsigned states,
+                             const struct rp_member **out, size_t max);
 
 #endif
--- a/lib/wire/rp_geneve.h
+++ b/lib/wire/rp_geneve.h
@@ -34,17 +34,17 @@
     uint64_t generation;
 };
 
-#define RP_CHAIN_NO_SHARE 255 /* no candidate has told its load yet */
+#define RP_CHAIN_NO_UTILISATION 255 /* no candidate has told its load yet */
 
 /* Candidate agents; the first `visited` of `count` have seen the packet.
  * Of those that passed a new flow on, hop[best] was the least busy, with
- * `best_share` (see rp_admission.h). `forced` tells the receiver that all
- * others are busier. */
+ * `lowest_utilisation` (see rp_admission.h). `forced` tells the receiver that
+ * all others are busier. */
 struct rp_chain {
     uint8_t count;
     uint8_t visited;
     uint8_t best;
-    uint8_t best_share;
+    uint8_t lowest_utilisation;
     bool forced;
     struct rp_endpoint hop[RP_MAX_CHAIN];
 };
--- a/programs/daemon/agent.c
+++ b/programs/daemon/agent.c
@@ -335,7 +335,7 @@
     struct agent *agent = user;
     const struct rp_table *table = RpUplink_Table(agent->uplink);
 
-    agent->service = RpTable_FindName(table, &agent->settings.service);
+    agent->service = RpTable_FindByName(table, &agent->settings.service);
     RpAgent_SetTable(agent->flows, table, agent->service);
 }
 
@@ -544,7 +544,7 @@
 
     randombytes_buf(&config.seed, sizeof config.seed);
     agent->flows = RpAgent_Create(&config, &agent->chart,
-                                  RpAdmission_CreateBounded(),
+                                  RpAdmission_CreateLatencyTarget(),
                                   &agent->daemon.counters);
 }
 
--- a/programs/daemon/agent_host.c
+++ b/programs/daemon/agent_host.c
@@ -128,9 +128,10 @@
 bool
 RpAgentHost_Open(struct agent *agent)
 {
-    static const struct rp_platform_ops ops = {.host_report = on_host_report,
-                                               .host_leaves = on_host_left,
-                                               .unreadable = on_unreadable};
+    static const struct rp_platform_ops ops = {
+        .host_report = on_host_report,
+        .host_deregisters = on_host_left,
+        .unreadable = on_unreadable};
     struct rp_error error;
 
     if (agent->settings.host_reports.port == 0) {
--- a/programs/daemon/balancer.c
+++ b/programs/daemon/balancer.c
@@ -136,7 +136,7 @@
                 caller, address, RpCounter_Name(route->reason), packet->copy,
                 route->tag.service_id, route->chain.count ? next : "none",
                 route->chain.count, RpTable_Revision(table),
-                RpTable_IsGathering(table));
+                RpTable_MayLackMembers(table));
 }
 
 static void
@@ -208,7 +208,8 @@
     g_string_append_printf(out,
                            "revision %" G_GUINT64_FORMAT "\n"
                            "services %zu\ncontrol_connected %d\n",
-                           RpTable_Revision(table), RpTable_Count(table),
+                           RpTable_Revision(table),
+                           RpTable_CountServices(table),
                            RpUplink_IsConnected(balancer->uplink));
 }
 
--- a/programs/daemon/control_editions.c
+++ b/programs/daemon/control_editions.c
@@ -51,7 +51,7 @@
     const struct rp_replica_member *leader = RpReplica_Leader(replica);
 
     if (leader && leader->id != RpReplica_Id(replica)) {
-        RpPlatform_AnswerElsewhere(request, leader->ip);
+        RpPlatform_Redirect(request, leader->ip);
         return;
     }
     RpCounters_Add(&editions->control->daemon.counters,
--- a/programs/daemon/control_relay.c
+++ b/programs/daemon/control_relay.c
@@ -27,7 +27,7 @@
         return;
     }
     struct rp_endpoint to = controls->item[relay->next++ % controls->count];
-    RpPlatform_AnswerElsewhere(request, to.ip);
+    RpPlatform_Redirect(request, to.ip);
 }
 
 static void
--- a/programs/daemon/rp_uplink.c
+++ b/programs/daemon/rp_uplink.c
@@ -93,7 +93,7 @@
     RpConn_Send(uplink->conn, &confirm);
     RpLog_Event(uplink->daemon->log, RP_LOG_DEBUG, "table_applied",
                 "revision=%" G_GUINT64_FORMAT " services=%zu", table->revision,
-                RpTable_Count(uplink->table));
+                RpTable_CountServices(uplink->table));
 }
 
 static void
--- a/tests/golden/agent_session.c
+++ b/tests/golden/agent_session.c
@@ -126,9 +126,9 @@
     if (chain->visited == chain->count) {
         putchar('|');
     }
-    if (chain->best_share != RP_CHAIN_NO_SHARE) {
+    if (chain->lowest_utilisation != RP_CHAIN_NO_UTILISATION) {
         printf(" best=%c/%u%s", member_name(chain->hop[chain->best]),
-               chain->best_share, chain->forced ? " forced" : "");
+               chain->lowest_utilisation, chain->forced ? " forced" : "");
     }
 }
 
@@ -187,8 +187,9 @@
         g_array_free(table.vips, TRUE);
     }
     if (session->agent) {
-        RpAgent_SetTable(session->agent, session->routes,
-                         RpTable_FindId(session->routes, session->service.id));
+        RpAgent_SetTable(
+            session->agent, session->routes,
+            RpTable_FindById(session->routes, session->service.id));
     }
 }
 
@@ -277,7 +278,7 @@
 
     RpAgent_Free(session->agent);
     session->agent = RpAgent_Create(&config, &session->chart,
-                                    RpAdmission_CreateLeast(),
+                                    RpAdmission_CreateLeastBusy(),
                                     &session->counters);
     if (with_table) {
         set_table(session);
@@ -366,7 +367,7 @@
         .has_chain = true,
         .tag = {.service_id = session->service.id,
                 .incarnation = session->service.incarnation},
-        .chain = {.best_share = RP_CHAIN_NO_SHARE}};
+        .chain = {.lowest_utilisation = RP_CHAIN_NO_UTILISATION}};
 
     make_packet(session, bytes, &packet, caller_key(session, words[2]), words);
     for (const char *c = words[6]; *c; c++) {
@@ -379,7 +380,7 @@
     }
     if (!strcmp(words[7], "best")) {
         geneve.chain.best = (uint8_t)parse_number(words[8]);
-        geneve.chain.best_share = (uint8_t)parse_number(words[9]);
+        geneve.chain.lowest_utilisation = (uint8_t)parse_number(words[9]);
         geneve.chain.forced = !strcmp(words[10], "forced");
     }
     if (!strcmp(words[7], "tag")) {
--- a/tests/measure/cost.c
+++ b/tests/measure/cost.c
@@ -172,9 +172,9 @@
         .self = {.ip = 0x0b000000, .port = 6081}, .slots = 7, .seed = 5};
     struct rp_endpoint address = {.ip = 0x0a500000, .port = 7000};
     struct rp_agent *agent = RpAgent_Create(
-        &config, chart, RpAdmission_CreateLeast(), counters);
+        &config, chart, RpAdmission_CreateLeastBusy(), counters);
 
-    RpAgent_SetTable(agent, table, RpTable_Find(table, address));
+    RpAgent_SetTable(agent, table, RpTable_FindByAddress(table, address));
     return agent;
 }
 
--- a/tests/measure/flow_model.c
+++ b/tests/measure/flow_model.c
@@ -52,7 +52,7 @@
     uint32_t chain[MAX_HOSTS];
     uint32_t position;
     uint32_t best;
-    uint8_t best_share;
+    uint8_t lowest_utilisation;
     bool forced;
 };
 
@@ -237,7 +237,7 @@
 }
 
 /* The verdict of the policies that exist in this tool only. */
-static enum rp_verdict
+static enum rp_decision
 adaptive_verdict(struct model *model, uint32_t host,
                  const struct rp_load *load)
 {
@@ -245,8 +245,8 @@
     double bound = MAX((double)load->slots, self->mean * 1.1);
 
     self->mean += (load->busy - self->mean) * 0.02;
-    return load->busy < bound || load->last ? RP_VERDICT_TAKE
-                                            : RP_VERDICT_PASS;
+    return load->busy < bound || load->last ? RP_DECISION_ADMIT
+                                            : RP_DECISION_PASS_ON;
 }
 
 static void
@@ -255,14 +255,15 @@
     struct request *request = request_of(model, number);
     uint32_t host = request->chain[request->position];
     uint32_t length = chain_length(model);
-    const struct rp_load load = {.slots = model->scene->slots,
-                                 .busy = model->hosts[host].counted,
-                                 .flow_limit = UINT32_MAX,
-                                 .position = request->position,
-                                 .best_share = request->best_share,
-                                 .last = request->position + 1 == length};
+    const struct rp_load load = {
+        .slots = model->scene->slots,
+        .busy = model->hosts[host].counted,
+        .flow_limit = UINT32_MAX,
+        .position = request->position,
+        .lowest_utilisation = request->lowest_utilisation,
+        .last = request->position + 1 == length};
     enum rp_counter reason;
-    enum rp_verdict verdict = RP_VERDICT_TAKE;
+    enum rp_decision verdict = RP_DECISION_ADMIT;
     uint32_t next;
 
     if (model->policy == POLICY_ADAPT3) {
@@ -271,11 +272,11 @@
     else if (!request->forced) {
         verdict = RpAdmission_Decide(model->admission, &load, &reason);
     }
-    if (verdict == RP_VERDICT_TAKE) {
+    if (verdict == RP_DECISION_ADMIT) {
         admit(model, number, host, now);
         return;
     }
-    if (verdict == RP_VERDICT_BACK) {
+    if (verdict == RP_DECISION_PASS_BACK) {
         next = request->best;
         request->forced = true;
         request->position = 0;
@@ -284,9 +285,9 @@
         }
     }
     else {
-        uint8_t share = RpLoad_Share(&load);
-        if (share < request->best_share) {
-            request->best_share = share;
+        uint8_t share = RpLoad_Utilisation(&load);
+        if (share < request->lowest_utilisation) {
+            request->lowest_utilisation = share;
             request->best = host;
         }
         next = request->chain[++request->position];
@@ -343,7 +344,8 @@
 static void
 arrive(struct model *model, int64_t now)
 {
-    struct request request = {.arrived = now, .best_share = RP_SHARE_MAX};
+    struct request request = {.arrived = now,
+                              .lowest_utilisation = RP_UTILISATION_MAX};
     int64_t next = next_arrival(model->scene, model->dice, now);
 
     request.is_long = g_rand_double(model->dice) < model->scene->long_share;
@@ -423,8 +425,8 @@
     struct event event;
 
     model.admission = policy == POLICY_BOUND2 || policy == POLICY_BOUND3
-                          ? RpAdmission_CreateBound()
-                          : RpAdmission_CreateLeast();
+                          ? RpAdmission_CreateFreeSlot()
+                          : RpAdmission_CreateLeastBusy();
     heap_push(&model.heap, 0, EV_REPORT, 0, 0);
     heap_push(&model.heap, 1, EV_ARRIVE, 0, 0);
     while (heap_pop(&model.heap, &event)) {
--- a/tests/measure/pinned_model.c
+++ b/tests/measure/pinned_model.c
@@ -2,7 +2,7 @@
  * is not. What is left is the order in which a host's requests go in. */
 #include "heap.h"
 #include "model.h"
-#include "rp_gate.h"
+#include "rp_request_queue.h"
 
 #define LONG_CONNECTIONS 0.02 /* share of connections for long work */
 
@@ -37,7 +37,7 @@
     struct heap heap;
     GRand *dice;
     GArray *requests;
-    struct rp_gate *gates[MAX_HOSTS];
+    struct rp_request_queue *gates[MAX_HOSTS];
     uint32_t serving[MAX_HOSTS];
     GQueue queues[MAX_HOSTS]; /* inside the hosts */
     struct balance balance;
@@ -102,7 +102,8 @@
     struct rp_flow_key caller;
     bool is_long;
 
-    while (RpGate_Next(model->gates[host], now, &caller, &is_long)) {
+    while (
+        RpRequestQueue_StartNext(model->gates[host], now, &caller, &is_long)) {
         go_in(model, caller.src_ip, now);
     }
 }
@@ -125,9 +126,10 @@
     uint32_t best = 0;
 
     for (uint32_t i = 1; i < model->scene->hosts; i++) {
-        if (RpGate_Inside(model->gates[i]) + RpGate_Kept(model->gates[i]) <
-            RpGate_Inside(model->gates[best]) +
-                RpGate_Kept(model->gates[best])) {
+        if (RpRequestQueue_CountStarted(model->gates[i]) +
+                RpRequestQueue_CountWaiting(model->gates[i]) <
+            RpRequestQueue_CountStarted(model->gates[best]) +
+                RpRequestQueue_CountWaiting(model->gates[best])) {
             best = i;
         }
     }
@@ -159,12 +161,12 @@
         return;
     }
     struct rp_flow_key caller = {.src_ip = number, .src_port = 1};
-    if (RpGate_Enter(model->gates[request.host], now, caller,
-                     request.believed_long)) {
+    if (RpRequestQueue_StartOrEnqueue(model->gates[request.host], now, caller,
+                                      request.believed_long)) {
         go_in(model, number, now);
         return;
     }
-    heap_push(&model->heap, now + RP_GATE_HOLD_US, EV_HOLD_OVER, number,
+    heap_push(&model->heap, now + RP_REQUEST_MAX_WAIT_US, EV_HOLD_OVER, number,
               request.host);
 }
 
@@ -175,8 +177,8 @@
     balance_set(&model->balance, model->scene, now, host,
                 model->serving[host]);
     if (model->policy != POLICY_FIFO) {
-        RpGate_Leave(model->gates[host],
-                     request_of(model, number)->believed_long);
+        RpRequestQueue_Finish(model->gates[host],
+                              request_of(model, number)->believed_long);
         let_next_in(model, host, now);
     }
     serve(model, host, now);
@@ -196,7 +198,8 @@
     struct event event;
 
     for (uint32_t i = 0; i < scene->hosts; i++) {
-        model.gates[i] = RpGate_Create(scene->slots, long_slots(&model));
+        model.gates[i] = RpRequestQueue_Create(scene->slots,
+                                               long_slots(&model));
     }
     heap_push(&model.heap, 1, EV_ARRIVE, 0, 0);
     while (heap_pop(&model.heap, &event)) {
@@ -212,7 +215,7 @@
     }
     outcome->imbalance = balance_result(&model.balance);
     for (uint32_t i = 0; i < scene->hosts; i++) {
-        RpGate_Free(model.gates[i]);
+        RpRequestQueue_Free(model.gates[i]);
     }
     heap_clear(&model.heap);
     g_array_free(model.requests, TRUE);
--- a/tests/unit/test_edition.c
+++ b/tests/unit/test_edition.c
@@ -276,7 +276,7 @@
 resolves_to(const struct rp_table *table, uint32_t ip, uint16_t port,
             const char *service)
 {
-    const struct rp_service *found = RpTable_Resolve(
+    const struct rp_service *found = RpTable_SelectService(
         table, (struct rp_endpoint){.ip = ip, .port = port}, 12345);
 
     return found ? !strcmp(found->name.data, service) : service[0] == '\0';
@@ -316,7 +316,7 @@
     assert_true(resolves_to(sent[1].table, 0x0a010001, 443, "lens"));
     /* The agent of one service also gets the other service that shares its
      * virtual address. */
-    assert_int_equal(RpTable_Count(sent[2].table), 2);
+    assert_int_equal(RpTable_CountServices(sent[2].table), 2);
 
     apply_and_check(catalog,
                     "{\"version\":13,\"routes\":[" ROUTE(
@@ -359,12 +359,12 @@
     subscribe(distribution, 1, "balancer-1", RP_ROLE_BALANCER, "");
     RpDistribution_Flush(distribution, 1);
     assert_int_equal(sent[1].count, 1);
-    assert_true(RpTable_IsGathering(sent[1].table));
+    assert_true(RpTable_MayLackMembers(sent[1].table));
     RpDistribution_Flush(distribution, RP_GATHERING_US - 1);
     assert_int_equal(sent[1].count, 1);
     RpDistribution_Flush(distribution, RP_GATHERING_US);
     assert_int_equal(sent[1].count, 2);
-    assert_false(RpTable_IsGathering(sent[1].table));
+    assert_false(RpTable_MayLackMembers(sent[1].table));
     assert_int_equal(sent[1].vips, 2);
     RpDistribution_Free(distribution);
     RpRegistry_Free(registry);
@@ -392,7 +392,7 @@
     RpDistribution_Flush(distribution, 0);
     for (uint32_t i = 0; i < 10000; i++) {
         struct rp_flow_key key = {.src_ip = i, .dst_ip = 0x0a010002};
-        const struct rp_service *service = RpTable_Resolve(
+        const struct rp_service *service = RpTable_SelectService(
             sent[1].table, (struct rp_endpoint){.ip = 0x0a010002, .port = 80},
             RpTable_HashFlow(sent[1].table, key));
         lens += !strcmp(service->name.data, "lens");
--- a/tests/unit/test_ownership.c
+++ b/tests/unit/test_ownership.c
@@ -174,7 +174,7 @@
 
     update_table(sim, table);
     RpAgent_SetTable(sim->upstreams[service][number].agent, table,
-                     RpTable_Find(table, address));
+                     RpTable_FindByAddress(table, address));
 }
 
 static void
@@ -189,7 +189,7 @@
 
     RpAgent_Free(upstream->agent);
     upstream->agent = RpAgent_Create(
-        &config, &sim->chart, RpAdmission_CreateLeast(), &sim->counters);
+        &config, &sim->chart, RpAdmission_CreateLeastBusy(), &sim->counters);
     RpAgent_SetDraining(upstream->agent, upstream->draining);
     update_agent_table(sim, service, number);
 }
--- a/tests/unit/test_work.c
+++ b/tests/unit/test_service_time.c
@@ -4,7 +4,7 @@
 
 #include "check.h"
 #include "rp_time.h"
-#include "rp_work.h"
+#include "rp_service_time.h"
 
 #define SLOTS 7
 #define STEP_US (1 * RP_US_PER_MS)
@@ -43,7 +43,7 @@
 /* A simulated host with a queue in front of its slots. */
 struct host {
     GRand *rng;
-    struct rp_work estimate;
+    struct rp_service_time estimate;
     struct request slot[SLOTS]; /* ends == 0: free */
     GQueue waiting;             /* of struct request */
 };
@@ -62,9 +62,9 @@
 static void
 finish_request(struct host *host, struct request *request, int64_t now)
 {
-    RpWork_Answered(&host->estimate, now, count_busy(host), SLOTS);
+    RpServiceTime_OnAnswer(&host->estimate, now, count_busy(host), SLOTS);
     if (request->found_free) {
-        RpWork_Took(&host->estimate, now - request->arrived);
+        RpServiceTime_AddSample(&host->estimate, now - request->arrived);
     }
     request->ends = 0;
 }
@@ -144,13 +144,13 @@
 static void
 test_idle_time_not_counted(void **state)
 {
-    struct rp_work estimate = {0};
+    struct rp_service_time estimate = {0};
 
     (void)state;
-    RpWork_Answered(&estimate, 1000, SLOTS + 1, SLOTS);
-    RpWork_Answered(&estimate, 2000, SLOTS, SLOTS);
-    RpWork_Answered(&estimate, 9000000, 1, SLOTS);
-    RpWork_Answered(&estimate, 9001000, SLOTS + 2, SLOTS);
+    RpServiceTime_OnAnswer(&estimate, 1000, SLOTS + 1, SLOTS);
+    RpServiceTime_OnAnswer(&estimate, 2000, SLOTS, SLOTS);
+    RpServiceTime_OnAnswer(&estimate, 9000000, 1, SLOTS);
+    RpServiceTime_OnAnswer(&estimate, 9001000, SLOTS + 2, SLOTS);
     assert_int_equal(estimate.mean_us, SLOTS * 1000);
 }
 
--- a/tests/unit/test_tables.c
+++ b/tests/unit/test_tables.c
@@ -53,7 +53,8 @@
 static const struct rp_service *
 find_test_service(const struct rp_table *table)
 {
-    return RpTable_Find(table, (struct rp_endpoint){0x0a500001, 7000});
+    return RpTable_FindByAddress(table,
+                                 (struct rp_endpoint){0x0a500001, 7000});
 }
 
 /* Returns the number of the member that ranks first for flow `i`. */
@@ -66,9 +67,9 @@
                               .dst_ip = 0x0a500001,
                               .dst_port = 7000};
 
-    assert_int_equal(RpService_Rank(find_test_service(table),
-                                    RpTable_HashFlow(table, key),
-                                    RP_MEMBERS_READY, ranked, 1),
+    assert_int_equal(RpService_RankMembers(find_test_service(table),
+                                           RpTable_HashFlow(table, key),
+                                           RP_MEMBERS_READY, ranked, 1),
                      1);
     return ranked[0]->agent.ip;
 }
@@ -128,7 +129,7 @@
     apply_members(table, 5, 3, 7);
     assert_int_equal(RpTable_Apply(table, &older), RP_ERR_CONFLICT);
     assert_int_equal(RpTable_Revision(table), 5);
-    assert_int_equal(RpTable_Count(table), 1);
+    assert_int_equal(RpTable_CountServices(table), 1);
     RpTable_Free(table);
 }
 
@@ -233,9 +234,10 @@
         expired += GPOINTER_TO_UINT(key) <= 2500;
     }
     struct rp_flow_key *found = g_new(struct rp_flow_key, 10000);
-    size_t budget = RpFlowTable_Places(table) + RP_FLOW_SHARDS;
-    assert_int_equal(RpFlowTable_Due(table, 2500, budget, found, 10000),
-                     expired);
+    size_t budget = RpFlowTable_CountBuckets(table) + RP_FLOW_SHARDS;
+    assert_int_equal(
+        RpFlowTable_CollectExpired(table, 2500, budget, found, 10000),
+        expired);
     g_free(found);
     g_rand_free(rng);
     g_hash_table_destroy(model);
@@ -274,7 +276,7 @@
 expect_members(const struct rp_table *table, const char *expected)
 {
     const struct rp_name no_name = {0};
-    const struct rp_service *service = RpTable_FindName(table, &no_name);
+    const struct rp_service *service = RpTable_FindByName(table, &no_name);
     GString *text = g_string_new(NULL);
 
     for (size_t i = 0; service && i < service->count; i++) {
@@ -301,7 +303,7 @@
     expect_members(table, "b2a1");
     apply_members_named(table, false, true, "c", RP_UPSTREAM_READY);
     expect_members(table, "c1b2a1");
-    assert_true(RpTable_IsGathering(table));
+    assert_true(RpTable_MayLackMembers(table));
     apply_members_named(table, true, false, "bc", RP_UPSTREAM_READY);
     expect_members(table, "b1c1");
     apply_members_named(table, true, false, "", RP_UPSTREAM_READY);
