--- a/lib/wire/rp_bytes.h
+++ b/lib/wire/rp_bytes.h
@@ -1,4 +1,4 @@
-/* Big-endian numbers in byte buffers. */
+/* Reads and writes big-endian integers in byte buffers. */
 #ifndef RP_BYTES_H
 #define RP_BYTES_H
 
--- a/lib/wire/rp_codec.c
+++ b/lib/wire/rp_codec.c
@@ -1,3 +1,4 @@
+/* The IPv4 packet format; rp_packet.c does the work. */
 #include "rp_codec.h"
 
 #include "rp_geneve.h"
--- a/lib/wire/rp_geneve.c
+++ b/lib/wire/rp_geneve.c
@@ -1,3 +1,4 @@
+/* Parses and writes Geneve headers with the service and chain options. */
 #include "rp_geneve.h"
 
 #include <assert.h>
@@ -5,15 +6,15 @@
 
 #include "rp_bytes.h"
 
-#define OPTION_CLASS 0xff52 /* within the range for experiments */
-#define OPTION_HEADER 4
+#define OPTION_CLASS 0xff52 /* in the experimental range of RFC 8926 */
+#define OPTION_HEADER_SIZE 4
 #define OPTION_CRITICAL 0x80
 #define OPTION_SERVICE 0x81
 #define OPTION_CHAIN 0x82
 #define SERVICE_SIZE 16
-#define CHAIN_HEADER 4
-#define CHAIN_HOP 8
-#define CHAIN_FORCED 0x80 /* flag beside the index of the best candidate */
+#define CHAIN_HEADER_SIZE 4
+#define CHAIN_HOP_SIZE 8
+#define CHAIN_FORCED 0x80 /* flag in the byte of the best candidate */
 
 static bool
 parse_service(const uint8_t *data, size_t len, struct rp_geneve *out)
@@ -33,7 +34,7 @@
 {
     struct rp_chain *chain = &out->chain;
 
-    if (len < CHAIN_HEADER || out->has_chain) {
+    if (len < CHAIN_HEADER_SIZE || out->has_chain) {
         return false;
     }
     chain->visited = data[0];
@@ -45,11 +46,11 @@
         return false;
     }
     if (chain->count > RP_MAX_CHAIN || chain->visited > chain->count ||
-        len != CHAIN_HEADER + (size_t)chain->count * CHAIN_HOP) {
+        len != CHAIN_HEADER_SIZE + (size_t)chain->count * CHAIN_HOP_SIZE) {
         return false;
     }
     for (size_t i = 0; i < chain->count; i++) {
-        const uint8_t *hop = data + CHAIN_HEADER + i * CHAIN_HOP;
+        const uint8_t *hop = data + CHAIN_HEADER_SIZE + i * CHAIN_HOP_SIZE;
         chain->hop[i].ip = RpBytes_Get32(hop);
         chain->hop[i].port = RpBytes_Get16(hop + 4);
     }
@@ -57,37 +58,37 @@
     return true;
 }
 
-/* Reads all options; false if one cannot be read or is critical and not
- * known here. */
+/* Parses all options. Returns false if one is malformed, or is critical and
+ * unknown. */
 static bool
 parse_options(const uint8_t *data, size_t len, struct rp_geneve *out)
 {
     while (len) {
-        if (len < OPTION_HEADER) {
+        if (len < OPTION_HEADER_SIZE) {
             return false;
         }
         uint16_t class = RpBytes_Get16(data);
         uint8_t type = data[2];
-        size_t body = (size_t)(data[3] & 31) * 4;
-        if (len < OPTION_HEADER + body) {
+        size_t body_size = (size_t)(data[3] & 31) * 4;
+        if (len < OPTION_HEADER_SIZE + body_size) {
             return false;
         }
-        const uint8_t *value = data + OPTION_HEADER;
-        bool known = true;
+        const uint8_t *value = data + OPTION_HEADER_SIZE;
+        bool accepted = true;
         if (class == OPTION_CLASS && type == OPTION_SERVICE) {
-            known = parse_service(value, body, out);
+            accepted = parse_service(value, body_size, out);
         }
         else if (class == OPTION_CLASS && type == OPTION_CHAIN) {
-            known = parse_chain(value, body, out);
+            accepted = parse_chain(value, body_size, out);
         }
         else {
-            known = !(type & OPTION_CRITICAL);
+            accepted = !(type & OPTION_CRITICAL);
         }
-        if (!known) {
+        if (!accepted) {
             return false;
         }
-        data += OPTION_HEADER + body;
-        len -= OPTION_HEADER + body;
+        data += OPTION_HEADER_SIZE + body_size;
+        len -= OPTION_HEADER_SIZE + body_size;
     }
     return true;
 }
@@ -124,13 +125,13 @@
 }
 
 static uint8_t *
-write_option_header(uint8_t *p, uint8_t type, size_t body)
+write_option_header(uint8_t *p, uint8_t type, size_t body_size)
 {
-    assert(body % 4 == 0 && body / 4 <= 31);
+    assert(body_size % 4 == 0 && body_size / 4 <= 31);
     RpBytes_Put16(p, OPTION_CLASS);
     p[2] = type;
-    p[3] = (uint8_t)(body / 4);
-    return p + OPTION_HEADER;
+    p[3] = (uint8_t)(body_size / 4);
+    return p + OPTION_HEADER_SIZE;
 }
 
 static uint8_t *
@@ -146,20 +147,21 @@
 static uint8_t *
 write_chain(uint8_t *p, const struct rp_chain *chain)
 {
-    size_t body = CHAIN_HEADER + (size_t)chain->count * CHAIN_HOP;
+    size_t body_size = CHAIN_HEADER_SIZE +
+                       (size_t)chain->count * CHAIN_HOP_SIZE;
 
     assert(chain->count <= RP_MAX_CHAIN);
-    p = write_option_header(p, OPTION_CHAIN, body);
+    p = write_option_header(p, OPTION_CHAIN, body_size);
     p[0] = chain->visited;
     p[1] = chain->count;
     p[2] = chain->best | (chain->forced ? CHAIN_FORCED : 0);
     p[3] = chain->best_share;
-    p += CHAIN_HEADER;
+    p += CHAIN_HEADER_SIZE;
     for (size_t i = 0; i < chain->count; i++) {
         RpBytes_Put32(p, chain->hop[i].ip);
         RpBytes_Put16(p + 4, chain->hop[i].port);
         RpBytes_Put16(p + 6, 0);
-        p += CHAIN_HOP;
+        p += CHAIN_HOP_SIZE;
     }
     return p;
 }
@@ -179,7 +181,7 @@
     }
     size_t options = (size_t)(p - out) - RP_GENEVE_HEADER;
     out[0] = (uint8_t)(options / 4);
-    out[1] = options ? 0x40 : 0; /* the bit that announces critical options */
+    out[1] = options ? 0x40 : 0; /* the "critical options present" bit */
     RpBytes_Put16(out + 2, protocol);
     return (size_t)(p - out);
 }
--- a/lib/wire/rp_msg.c
+++ b/lib/wire/rp_msg.c
@@ -1,3 +1,5 @@
+/* Schemas of all messages, and their encoding. The order of the fields in a
+ * schema is their order on the wire: new fields go to the end. */
 #include "rp_msg.h"
 
 #include <string.h>
@@ -384,15 +386,16 @@
 #undef RP_MSG_SCHEMA
 };
 
-/* The body's place in the union is the same for every type. */
+/* Returns the message body; all members of the union have one address. */
 static void *
-body_of(struct rp_msg *msg)
+get_body(struct rp_msg *msg)
 {
     return &msg->hello;
 }
 
+/* Output callback of the msgpack packer. */
 static int
-append_bytes(void *data, const char *bytes, size_t len)
+write_to_string(void *data, const char *bytes, size_t len)
 {
     g_string_append_len(data, bytes, (gssize)len);
     return 0;
@@ -403,7 +406,7 @@
 {
     msgpack_packer packer;
 
-    msgpack_packer_init(&packer, out, append_bytes);
+    msgpack_packer_init(&packer, out, write_to_string);
     msgpack_pack_array(&packer, 2);
     msgpack_pack_uint8(&packer, (uint8_t)msg->type);
     RpSchema_Pack(schemas[msg->type], &msg->hello, &packer);
@@ -422,7 +425,7 @@
     }
     msg->type = (enum rp_msg_type)type->via.u64;
     return RpSchema_Unpack(schemas[msg->type], &object->via.array.ptr[1],
-                           body_of(msg));
+                           get_body(msg));
 }
 
 bool
@@ -436,21 +439,21 @@
         return false;
     }
     msgpack_unpacked_init(&unpacked);
-    bool good = msgpack_unpack_next(&unpacked, bytes.data, bytes.len,
-                                    &offset) == MSGPACK_UNPACK_SUCCESS &&
-                offset == bytes.len && decode_object(&unpacked.data, msg);
+    bool decoded = msgpack_unpack_next(&unpacked, bytes.data, bytes.len,
+                                       &offset) == MSGPACK_UNPACK_SUCCESS &&
+                   offset == bytes.len && decode_object(&unpacked.data, msg);
     msgpack_unpacked_destroy(&unpacked);
-    if (!good) {
+    if (!decoded) {
         memset(msg, 0, sizeof *msg);
     }
-    return good;
+    return decoded;
 }
 
 void
 RpMsg_Clear(struct rp_msg *msg)
 {
     if (msg->type != RP_MSG_NONE) {
-        RpSchema_Clear(schemas[msg->type], body_of(msg));
+        RpSchema_Clear(schemas[msg->type], get_body(msg));
     }
     msg->type = RP_MSG_NONE;
 }
--- a/lib/wire/rp_msg.h
+++ b/lib/wire/rp_msg.h
@@ -1,9 +1,15 @@
-/* Typed messages between the system's processes.
+/* Messages exchanged between control replicas, balancers, agents and the
+ * command line.
  *
- * Every message is a struct with a schema; `struct rp_msg` is one of them
- * with its type. The wire form of a message is a msgpack array of two: the
- * type's number and the body (see rp_schema.h). Texts are length-counted,
- * times are durations in milliseconds unless a name says otherwise.
+ * Every message type has a struct and a schema that describes its wire form.
+ * `struct rp_msg` is a tagged union of all message types. A message is
+ * encoded as a msgpack array of two elements: the number of the type and the
+ * body (see rp_schema.h). Texts are length-counted. Times are durations in
+ * milliseconds unless the name gives another unit. IPv4 addresses and ports
+ * are numbers in host byte order.
+ *
+ * "Node" stands for a balancer or an agent, that is, any process that
+ * subscribes to service tables.
  */
 #ifndef RP_MSG_H
 #define RP_MSG_H
@@ -19,7 +25,7 @@
 #define RP_HASH_KEY_SIZE 16  /* bytes */
 #define RP_CHANGE_ID_SIZE 16 /* bytes */
 
-/* What a process says it is. */
+/* The kind of process at one end of a connection. */
 enum rp_role {
     RP_ROLE_NONE,
     RP_ROLE_CONTROL,
@@ -29,16 +35,15 @@
     RP_ROLE_COUNT
 };
 
-/* How far an upstream may be used. The order is that of use: READY takes
- * new flows, DRAINING only finishes its own, LOST is out of lease. */
+/* State of an upstream, from the most to the least usable. */
 enum rp_upstream_state {
-    RP_UPSTREAM_READY = 1,
-    RP_UPSTREAM_DRAINING,
-    RP_UPSTREAM_LOST,
-    RP_UPSTREAM_GONE /* said goodbye; its entry is about to be dropped */
+    RP_UPSTREAM_READY = 1, /* takes new flows */
+    RP_UPSTREAM_DRAINING,  /* finishes its open flows, takes no new ones */
+    RP_UPSTREAM_LOST,      /* its lease has expired */
+    RP_UPSTREAM_GONE       /* has signed off; its entry will be removed */
 };
 
-/* First message in each direction. */
+/* First message in each direction of a connection. */
 struct rp_msg_hello {
     uint8_t version;
     uint8_t role; /* enum rp_role */
@@ -47,8 +52,10 @@
     uint8_t nonce[RP_NONCE_SIZE];
 };
 
-/* Agent to control: what it serves, renewed before the lease ends.
- * (incarnation, sequence) orders what one instance says about itself. */
+/* Agent to control: the state of its upstream, sent again before the lease
+ * ends. Control replicas forward announcements to each other, and answer an
+ * outdated announcement with the newer one that they hold. The pair
+ * (incarnation, sequence) orders the announcements of one upstream. */
 struct rp_msg_announce {
     struct rp_name upstream;
     struct rp_name service;
@@ -60,14 +67,14 @@
     uint64_t incarnation;
     uint64_t sequence;
     uint32_t lease_ms;
-    uint32_t flows;
-    uint32_t busy;
+    uint32_t flows; /* open flows */
+    uint32_t busy;  /* outstanding requests */
 };
 
-/* Node to control: which table it wants, and what it has already. */
+/* Node to control: requests a service table and its updates. */
 struct rp_msg_subscribe {
     struct rp_name service; /* empty: all services */
-    uint64_t revision;      /* highest configuration revision it has run */
+    uint64_t revision; /* highest configuration revision the node has had */
 };
 
 /* One upstream in a table. */
@@ -80,7 +87,7 @@
     struct rp_name zone;
 };
 
-/* What the requests of a virtual address are; admission orders by it. */
+/* Kind of the requests that are sent to a virtual address. */
 enum rp_request_kind {
     RP_REQUEST_UNKNOWN,
     RP_REQUEST_IDEMPOTENT,
@@ -88,24 +95,24 @@
     RP_REQUEST_DOWNLOAD
 };
 
-/* A service behind a virtual address, with its share of new flows. */
+/* A service behind a virtual address. */
 struct rp_msg_target {
     uint32_t service_id;
-    uint32_t weight;
+    uint32_t weight; /* new flows are split in proportion to the weights */
 };
 
-/* One virtual address of an edition and where its flows go. */
+/* One virtual address of an edition and the services behind it. */
 struct rp_msg_vip {
     uint32_t address;
     uint16_t port;
     uint8_t kind;      /* enum rp_request_kind */
     uint32_t priority; /* 0 is the highest */
     uint32_t timeout_ms;
-    uint32_t target_ms; /* latency that callers hope for */
+    uint32_t target_ms; /* target latency; 0: none given */
     GArray *targets;    /* of struct rp_msg_target */
 };
 
-/* A virtual address that is not served any more. */
+/* A virtual address that is no longer served. */
 struct rp_msg_removed_vip {
     uint32_t address;
     uint16_t port;
@@ -118,125 +125,130 @@
     uint32_t incarnation;
     uint32_t address;
     uint16_t port;
-    uint64_t generation; /* grows with each change of the members */
-    uint32_t flows_per_upstream;
-    uint32_t retries_percent;
-    uint32_t silence_ms;
-    uint32_t long_slots_percent;
-    GArray *members; /* of struct rp_msg_member */
+    uint64_t generation; /* incremented by each change of the members */
+    uint32_t flows_per_upstream; /* limit of open flows at one upstream */
+    uint32_t retries_percent;    /* retry budget, in percent of new flows */
+    uint32_t silence_ms; /* a flow that is silent for so long is probed */
+    uint32_t long_slots_percent; /* slots that long requests may occupy */
+    GArray *members;             /* of struct rp_msg_member */
 };
 
-/* A service that a table no longer has. */
+/* A service that was removed from the table. */
 struct rp_msg_removed {
     uint32_t id;
 };
 
-/* Control to node: the whole table, or what changed since the last one. */
+/* Control to node: the whole table, or the changes since the last one. */
 struct rp_msg_table {
-    uint64_t revision; /* configuration revision it contains */
-    uint8_t complete;  /* 1: replaces everything */
+    uint64_t revision; /* configuration revision of this table */
+    uint8_t complete;  /* 1: whole table, replaces the node's; 0: changes */
     uint8_t hash_key[RP_HASH_KEY_SIZE];
     GArray *services;     /* of struct rp_msg_service */
     GArray *removed;      /* of struct rp_msg_removed */
     GArray *vips;         /* of struct rp_msg_vip */
     GArray *removed_vips; /* of struct rp_msg_removed_vip */
-    /* 1: this replica has not heard of all upstreams yet, for it has just
-     * started. Members that a node knows stay until a table without it. */
+    /* 1: this replica has just started and may not know all upstreams yet.
+     * A node keeps the members that it knows until it gets a table with 0
+     * here. */
     uint8_t gathering;
 };
 
-/* A service as an edition names it. */
+/* A service in an edition. */
 struct rp_edition_service {
     struct rp_name name;
-    uint32_t flows_per_upstream;
+    uint32_t flows_per_upstream; /* limit of open flows at one upstream */
 };
 
+/* A service behind a virtual address of an edition, and its weight. */
 struct rp_edition_target {
     struct rp_name service;
     uint32_t weight;
 };
 
+/* A virtual address in an edition. */
 struct rp_edition_vip {
-    GString *name; /* as the operator calls it */
+    GString *name; /* the operator's name for it */
     uint32_t address;
     uint16_t port;
     uint8_t kind; /* enum rp_request_kind */
     uint32_t priority;
     uint32_t timeout_ms;
-    uint32_t target_ms;
-    GArray *targets; /* of struct rp_edition_target */
+    uint32_t target_ms; /* target latency; 0: none given */
+    GArray *targets;    /* of struct rp_edition_target */
 };
 
-/* A whole configuration at once: services, virtual addresses and
- * limits, under a version that the operator chose. */
+/* An edition: a complete configuration (services, virtual addresses and
+ * limits) that replaces the one before. */
 struct rp_edition {
-    uint64_t version;
+    uint64_t version; /* assigned by the operator */
     uint32_t idle_timeout_ms;
     GArray *services; /* of struct rp_edition_service */
     GArray *vips;     /* of struct rp_edition_vip */
-    GString *content; /* as it was sent, to be read back */
+    GString *content; /* the text as received; operators can read it back */
 };
 
-/* Control to node: where the control instances are now. */
+/* Address of a control replica. */
 struct rp_msg_control_address {
     uint32_t ip;
     uint16_t port;
 };
 
+/* Control to node: the current addresses of the control replicas. */
 struct rp_msg_controls {
     GArray *list; /* of struct rp_msg_control_address */
 };
 
-/* Node to control: this revision is in force here. */
+/* Node to control: the node has applied this configuration revision. */
 struct rp_msg_confirm {
     uint64_t revision;
 };
 
+/* Whether a change creates or replaces a service, or deletes it. */
 enum rp_change_kind { RP_CHANGE_APPLY = 1, RP_CHANGE_DELETE };
 
 /* Operator to control: one change of one service. */
 struct rp_msg_change {
-    uint8_t id[RP_CHANGE_ID_SIZE];
-    uint8_t kind; /* enum rp_change_kind */
-    uint8_t has_base;
-    uint64_t base; /* the service revision that the change is based on */
+    uint8_t id[RP_CHANGE_ID_SIZE]; /* the same when a change is sent again */
+    uint8_t kind;                  /* enum rp_change_kind */
+    uint8_t has_base; /* 1: refused unless `base` is the current revision */
+    uint64_t base;    /* the service revision that the change is based on */
     struct rp_name service;
     GString *document;
 };
 
-/* One finding, as in rp_error.h. */
+/* One error with its place (struct rp_finding in rp_error.h). */
 struct rp_msg_finding {
     uint8_t code; /* enum rp_code */
     GString *place;
     GString *text;
 };
 
-/* Control to operator: what became of a change. */
+/* Control to operator: the result of a change. */
 struct rp_msg_change_reply {
     uint8_t id[RP_CHANGE_ID_SIZE];
     uint8_t code;      /* enum rp_code */
-    uint8_t repeated;  /* 1: the answer given to this id before */
+    uint8_t repeated;  /* 1: this id or version was decided before */
     uint64_t revision; /* applied: the new one; conflict: the current one */
     struct rp_name service;
     GArray *findings; /* of struct rp_msg_finding */
     uint32_t service_id;
-    uint8_t is_change;  /* 0: the command was not a change */
-    uint8_t is_edition; /* 1: it was a whole edition */
+    uint8_t is_change;  /* 1: the log entry was a change of one service */
+    uint8_t is_edition; /* 1: the log entry was an edition */
 };
 
 enum rp_query_kind {
-    RP_QUERY_SERVICES = 1,
-    RP_QUERY_DOCUMENT,
-    RP_QUERY_STATUS
+    RP_QUERY_SERVICES = 1, /* answered by struct rp_msg_services */
+    RP_QUERY_DOCUMENT,     /* answered by struct rp_msg_document */
+    RP_QUERY_STATUS        /* answered by struct rp_msg_status */
 };
 
-/* Operator to control. */
+/* Operator to control: requests information. */
 struct rp_msg_query {
     uint8_t kind; /* enum rp_query_kind */
     struct rp_name service;
 };
 
-/* One service as operators see it. */
+/* One service, its upstreams by state, and their load in total. */
 struct rp_msg_service_info {
     struct rp_name name;
     uint32_t id;
@@ -251,12 +263,13 @@
     uint32_t busy;
 };
 
+/* Control to operator: all services. */
 struct rp_msg_services {
     uint64_t revision;
     GArray *services; /* of struct rp_msg_service_info */
 };
 
-/* A service's document as it was accepted. */
+/* Control to operator: the accepted document of a service. */
 struct rp_msg_document {
     uint8_t code; /* enum rp_code */
     uint64_t revision;
@@ -264,17 +277,17 @@
     GString *document;
 };
 
-/* One node (balancer or agent) and the revision in force there. */
+/* One node and the configuration revision that it has applied. */
 struct rp_msg_node_info {
     struct rp_name name;
     struct rp_name zone;
     uint8_t role; /* enum rp_role */
     uint64_t confirmed;
-    uint32_t behind_ms; /* how long it has been behind; 0 if it is not */
-    uint8_t connected;  /* to the replica that says this */
+    uint32_t behind_ms; /* time since it fell behind; 0: up to date */
+    uint8_t connected;  /* 1: connected to the replica that reports this */
 };
 
-/* One upstream as operators see it. */
+/* One upstream with its state and load. */
 struct rp_msg_upstream_info {
     struct rp_name upstream;
     struct rp_name service;
@@ -295,6 +308,7 @@
     uint64_t committed;
 };
 
+/* Control to operator: the state of the whole system. */
 struct rp_msg_status {
     uint64_t revision;
     GArray *replicas;  /* of struct rp_msg_replica_info */
@@ -303,7 +317,7 @@
     GArray *upstreams; /* of struct rp_msg_upstream_info */
 };
 
-/* Either way, when there was nothing else to say for a while. */
+/* Keepalive, sent in either direction after some time without messages. */
 struct rp_msg_ping {
     uint64_t number;
 };
@@ -312,21 +326,23 @@
  * let it take new flows again. */
 struct rp_msg_order {
     struct rp_name upstream;
-    uint8_t draining;
+    uint8_t draining; /* 1: drain; 0: take new flows again */
 };
 
-/* Control to operator. */
+/* Control to operator: the result of an order. */
 struct rp_msg_order_reply {
-    uint8_t code; /* enum rp_code; RP_ERR_NOT_FOUND: not connected here */
+    uint8_t code; /* enum rp_code; RP_ERR_NOT_FOUND: the agent is not
+                   * connected to this replica */
 };
 
-/* What an entry of the replicated log holds. */
+/* The content of an entry of the replicated log. */
 enum rp_entry_kind {
-    RP_ENTRY_COMMAND = 1, /* for the state machine */
+    RP_ENTRY_COMMAND = 1, /* command for the state machine */
     RP_ENTRY_MEMBERS,     /* an encoded struct rp_replica_members */
-    RP_ENTRY_NOTHING      /* marks the begin of a leader's term */
+    RP_ENTRY_NOTHING      /* no-op entry at the start of a leader's term */
 };
 
+/* One entry of the replicated log. */
 struct rp_log_entry {
     uint64_t index;
     uint64_t term;
@@ -334,100 +350,116 @@
     GString *data;
 };
 
-/* One replica of the control state. A replica that lost its disk comes
- * back under a new id. */
+/* One replica of the control state. A replica that has lost its disk joins
+ * again under a new id. */
 struct rp_replica_member {
     uint64_t id;
     struct rp_name name;
     uint32_t ip;
     uint16_t port;
-    uint8_t voter; /* 0: a learner */
+    uint8_t voter; /* 1: voter; 0: learner */
 };
 
+/* All members of the replica group. */
 struct rp_replica_members {
     GArray *list; /* of struct rp_replica_member */
 };
 
-/* What a vote is for. */
+/* Kinds of vote requests. */
 enum rp_vote_kind {
     RP_VOTE_REAL,
-    RP_VOTE_TRIAL,       /* asks only, changes no term */
-    RP_VOTE_START_TRIAL, /* the same, of a replica that has just started */
-    RP_VOTE_AFTER_START  /* real; no process of before the start is left */
+    RP_VOTE_TRIAL,       /* pre-vote: raises no term */
+    RP_VOTE_START_TRIAL, /* pre-vote of a replica that has just started */
+    /* A real vote, requested by a candidate that knows that every member's
+     * process has restarted, so that no earlier leader is left. */
+    RP_VOTE_AFTER_START
 };
 
-/* Messages between replicas name both ids, so that none meant for an
- * earlier replica of the same name is taken. */
+/* Vote request. Messages between replicas carry the ids of the sender and
+ * of the receiver, so that a replica ignores messages for an earlier replica
+ * of the same name. */
 struct rp_msg_vote {
     uint64_t from;
     uint64_t to;
     uint64_t term;
-    uint8_t kind; /* enum rp_vote_kind */
-    uint64_t last_index;
-    uint64_t last_term;
+    uint8_t kind;        /* enum rp_vote_kind */
+    uint64_t last_index; /* of the candidate's last log entry */
+    uint64_t last_term;  /* of the candidate's last log entry */
 };
 
+/* Answer to a vote request. */
 struct rp_msg_vote_reply {
     uint64_t from;
     uint64_t to;
     uint64_t term;
-    uint8_t kind; /* of the vote */
-    uint8_t granted;
+    uint8_t kind;    /* enum rp_vote_kind of the request */
+    uint8_t granted; /* 1: the vote was granted */
 };
 
+/* Leader to follower: log entries, or none as a heartbeat. */
 struct rp_msg_append {
     uint64_t from;
     uint64_t to;
     uint64_t term;
-    uint64_t previous_index;
-    uint64_t previous_term;
-    uint64_t committed;
-    uint64_t round;  /* numbers the leader's contacts, echoed in the reply */
+    uint64_t previous_index; /* of the entry before `entries` */
+    uint64_t previous_term;  /* of the entry before `entries` */
+    uint64_t committed;      /* the leader's commit index */
+    uint64_t round;  /* number of this heartbeat round, echoed in replies */
     GArray *entries; /* of struct rp_log_entry */
-    uint8_t fresh;   /* 1: the leader's lease holds, and `committed` is all */
+    /* 1: the leader holds its lease, and `committed` covers all entries that
+     * are committed. */
+    uint8_t fresh;
 };
 
+/* Follower to leader: answer to struct rp_msg_append. */
 struct rp_msg_append_reply {
     uint64_t from;
     uint64_t to;
     uint64_t term;
     uint64_t round;
-    uint8_t accepted;
-    uint64_t match; /* accepted: last index known to agree; else the last */
+    uint8_t accepted; /* 1: the entries were appended */
+    /* If accepted, the last index at which the logs are known to agree; else
+     * the last index of the follower's log. */
+    uint64_t match;
 };
 
-/* A part of an encoded struct rp_snapshot. */
+/* Leader to follower: a part of an encoded struct rp_snapshot. */
 struct rp_msg_snapshot {
     uint64_t from;
     uint64_t to;
     uint64_t term;
-    uint64_t index; /* the last entry that the snapshot covers */
-    uint64_t offset;
-    uint64_t total;
+    uint64_t index;  /* the last entry that the snapshot covers */
+    uint64_t offset; /* of `data` in the snapshot, in bytes */
+    uint64_t total;  /* size of the snapshot in bytes */
     GString *data;
 };
 
+/* Follower to leader: answer to struct rp_msg_snapshot. */
 struct rp_msg_snapshot_reply {
     uint64_t from;
     uint64_t to;
     uint64_t term;
     uint64_t index;
-    uint64_t offset; /* how much of it has arrived */
+    uint64_t offset; /* bytes received so far */
 };
 
-/* A replica asks any other to be let in. */
+/* Sent by a replica to any other: asks to become a member. */
 struct rp_msg_join {
     struct rp_replica_member member;
 };
 
-/* A whole state: what a log is cut down to. */
+/* A snapshot of the replicated state; it replaces the log entries up to
+ * `index`. */
 struct rp_snapshot {
-    uint64_t index;
-    uint64_t term;
+    uint64_t index;  /* of the last entry that it covers */
+    uint64_t term;   /* of the last entry that it covers */
     GArray *members; /* of struct rp_replica_member */
-    GString *data;
+    GString *data;   /* encoded state of the state machine */
 };
 
+/* All message types, in the order of their numbers on the wire: a new type
+ * goes to the end. X(symbol, member) names the enum constant
+ * RP_MSG_<symbol> and the member of struct rp_msg. */
 /* clang-format off */
 #define RP_MSG_LIST(X)                                                        \
     X(HELLO, hello)                                                           \
@@ -462,7 +494,7 @@
         RP_MSG_TYPE_COUNT
 };
 
-/* One message. Clear it with RpMsg_Clear. */
+/* One message. RpMsg_Clear frees its lists and texts. */
 struct rp_msg {
     enum rp_msg_type type;
     union {
@@ -472,7 +504,8 @@
     };
 };
 
-/* Schemas of the parts that callers build lists of. */
+/* Schemas that are used outside rp_msg.c, to create lists and to encode
+ * stored data. */
 extern const struct rp_schema rp_msg_member_schema;
 extern const struct rp_schema rp_msg_target_schema;
 extern const struct rp_schema rp_msg_vip_schema;
@@ -496,22 +529,25 @@
 extern const struct rp_schema rp_replica_members_schema;
 extern const struct rp_schema rp_snapshot_schema;
 
-/* Appends the message's wire form to `out`. */
+/* Appends the encoded message to `out`. */
 void RpMsg_Encode(const struct rp_msg *msg, GString *out);
 
-/* Decodes a whole wire form; false leaves `msg` cleared. */
+/* Decodes one message, which must take up all of `bytes`. Returns false if
+ * the bytes are malformed, and leaves `msg` cleared then. The caller frees a
+ * decoded message with RpMsg_Clear. */
 bool RpMsg_Decode(struct rp_str bytes, struct rp_msg *msg);
 
-/* Frees what the message owns and sets its type to RP_MSG_NONE. */
+/* Frees the lists and texts of a message and sets its type to
+ * RP_MSG_NONE. */
 void RpMsg_Clear(struct rp_msg *msg);
 
-/* The type's lower-case name. */
+/* Returns the lower-case name of a message type. */
 const char *RpMsg_Name(enum rp_msg_type type);
 
-/* The role's lower-case name. */
+/* Returns the lower-case name of a role. */
 const char *RpRole_Name(enum rp_role role);
 
-/* The state's lower-case name. */
+/* Returns the lower-case name of an upstream state. */
 const char *RpUpstreamState_Name(enum rp_upstream_state state);
 
 #endif
--- a/lib/wire/rp_packet.c
+++ b/lib/wire/rp_packet.c
@@ -1,3 +1,4 @@
+/* Parses and writes IPv4 and TCP headers. */
 #include "rp_packet.h"
 
 #include <string.h>
@@ -9,13 +10,14 @@
 #define IP_PROTOCOL_TCP 6
 #define IP_FLAG_MORE_FRAGMENTS 0x2000
 #define IP_FLAG_DONT_FRAGMENT 0x4000
-#define IP_FRAGMENT_OFFSET 0x1fff
+#define IP_FRAGMENT_OFFSET_MASK 0x1fff
 #define IP_TTL 64
 
-/* Reads the IPv4 header; returns its size, or 0 with `*reason` set. */
+/* Parses the IPv4 header and sets `*len` to the packet's total length.
+ * Returns the size of the header, or 0 with `*reason` set. */
 static size_t
-parse_ip(const uint8_t *data, size_t *len, struct rp_packet *packet,
-         enum rp_counter *reason)
+parse_ipv4_header(const uint8_t *data, size_t *len, struct rp_packet *packet,
+                  enum rp_counter *reason)
 {
     if (*len < IP_HEADER_MIN) {
         *reason = RP_COUNT_DROP_SHORT;
@@ -29,7 +31,7 @@
         return 0;
     }
     uint16_t fragment = RpBytes_Get16(data + 6);
-    if (fragment & (IP_FLAG_MORE_FRAGMENTS | IP_FRAGMENT_OFFSET)) {
+    if (fragment & (IP_FLAG_MORE_FRAGMENTS | IP_FRAGMENT_OFFSET_MASK)) {
         *reason = RP_COUNT_DROP_FRAGMENT;
         return 0;
     }
@@ -43,9 +45,9 @@
     return header;
 }
 
-/* Flag combinations that no TCP sends. */
+/* Returns whether no TCP implementation sends this combination of flags. */
 static bool
-flags_are_nonsense(uint8_t flags)
+has_invalid_flags(uint8_t flags)
 {
     if (flags & RP_TCP_SYN) {
         return flags & (RP_TCP_FIN | RP_TCP_RST);
@@ -62,7 +64,7 @@
         *reason = RP_COUNT_DROP_OVERSIZED;
         return false;
     }
-    size_t ip_header = parse_ip(data, &len, packet, reason);
+    size_t ip_header = parse_ipv4_header(data, &len, packet, reason);
     if (ip_header == 0) {
         return false;
     }
@@ -74,7 +76,7 @@
     }
     size_t tcp_header = (size_t)(tcp[12] >> 4) * 4;
     if (tcp_header < TCP_HEADER_MIN || tcp_header > tcp_len ||
-        flags_are_nonsense(tcp[13])) {
+        has_invalid_flags(tcp[13])) {
         *reason = RP_COUNT_DROP_BAD_TRANSPORT;
         return false;
     }
@@ -119,9 +121,9 @@
                            *(const struct rp_flow_key *)b);
 }
 
-/* Adds `len` bytes to a one's complement sum. */
+/* Adds `len` bytes to a one's complement checksum. */
 static uint32_t
-sum_bytes(uint32_t sum, const uint8_t *data, size_t len)
+add_to_checksum(uint32_t sum, const uint8_t *data, size_t len)
 {
     size_t i = 0;
 
@@ -134,8 +136,9 @@
     return sum;
 }
 
+/* Returns the checksum field for a one's complement sum. */
 static uint16_t
-fold_sum(uint32_t sum)
+finish_checksum(uint32_t sum)
 {
     while (sum >> 16) {
         sum = (sum & 0xffff) + (sum >> 16);
@@ -143,7 +146,7 @@
     return (uint16_t)~sum;
 }
 
-/* Writes both checksums of a whole packet. */
+/* Writes the IPv4 and TCP checksums of a packet of `len` bytes. */
 static void
 write_checksums(uint8_t *data, size_t ip_header, size_t len)
 {
@@ -151,11 +154,13 @@
     size_t tcp_len = len - ip_header;
 
     RpBytes_Put16(data + 10, 0);
-    RpBytes_Put16(data + 10, fold_sum(sum_bytes(0, data, ip_header)));
-    uint32_t pseudo = sum_bytes(0, data + 12, 8);
+    RpBytes_Put16(data + 10,
+                  finish_checksum(add_to_checksum(0, data, ip_header)));
+    uint32_t pseudo = add_to_checksum(0, data + 12, 8);
     pseudo += IP_PROTOCOL_TCP + (uint32_t)tcp_len;
     RpBytes_Put16(tcp + 16, 0);
-    RpBytes_Put16(tcp + 16, fold_sum(sum_bytes(pseudo, tcp, tcp_len)));
+    RpBytes_Put16(tcp + 16,
+                  finish_checksum(add_to_checksum(pseudo, tcp, tcp_len)));
 }
 
 size_t
--- a/lib/wire/rp_packet.h
+++ b/lib/wire/rp_packet.h
@@ -1,8 +1,9 @@
-/* Inner packets: the IPv4 and TCP headers of what callers and hosts send.
+/* Inner packets: parses and writes the IPv4 and TCP headers of the packets of
+ * callers and hosts.
  *
- * Only these headers are read, bounds-checked; what cannot be read is
- * refused with the counter that names the reason. Checksums are not
- * verified (the ends do that); packets made here carry correct ones.
+ * Only these headers are parsed, with bounds checks. Checksums are not
+ * verified, since the ends of the flow do that; packets that are made here
+ * carry correct checksums.
  */
 #ifndef RP_PACKET_H
 #define RP_PACKET_H
@@ -15,7 +16,7 @@
 #include "rp_endpoint.h"
 
 #define RP_PACKET_MAX 9216 /* bytes of one inner packet */
-#define RP_RESET_SIZE 40   /* bytes of a packet made by RpPacket_MakeReset */
+#define RP_RESET_SIZE 40   /* bytes; IPv4 and TCP header without options */
 
 /* TCP flag bits. */
 #define RP_TCP_FIN 0x01
@@ -24,7 +25,7 @@
 #define RP_TCP_PSH 0x08
 #define RP_TCP_ACK 0x10
 
-/* The two ends of a flow as one packet names them (host byte order). */
+/* Source and destination of a packet, in host byte order. */
 struct rp_flow_key {
     uint32_t src_ip;
     uint32_t dst_ip;
@@ -40,25 +41,27 @@
     uint32_t seq;
     uint32_t ack;
     uint32_t payload_len;
-    uint16_t header_len; /* IPv4 and TCP headers together */
+    uint16_t header_len; /* bytes of the IPv4 and TCP headers together */
     uint16_t window;
     uint8_t flags;
-    /* How often the caller had sent this SYN before; only some formats say
-     * it, 0 elsewhere. */
+    /* How many times the caller has sent this SYN before; 0 in formats
+     * without this field. */
     uint32_t copy;
-    /* How long ago the caller sent the first of these SYNs, in microseconds;
-     * 0 where the format does not say it. */
+    /* Time since the caller sent this SYN first, in microseconds; 0 in
+     * formats without this field. */
     uint32_t waited_us;
-    /* The host gave the packet back: it refuses the SYN, or does not hold
-     * the flow. The key is that of the packet's sender. */
+    /* The host returned this packet of a caller, because it refuses the SYN
+     * or does not have the flow. `key` is the caller's: its source is the
+     * caller. */
     bool returned;
 };
 
-/* Reads the headers. On failure `*reason` says which drop counter fits. */
+/* Parses the headers of the `len` bytes at `data`, which `packet` borrows. If
+ * they are invalid, returns false and sets `*reason` to the drop counter. */
 bool RpPacket_Parse(const uint8_t *data, size_t len, struct rp_packet *packet,
                     enum rp_counter *reason);
 
-/* The same flow seen from its other end. */
+/* Returns the key with source and destination swapped. */
 struct rp_flow_key RpFlowKey_Reverse(struct rp_flow_key key);
 
 static inline bool
@@ -68,12 +71,12 @@
            a.src_port == b.src_port && a.dst_port == b.dst_port;
 }
 
-/* The two functions that a GHashTable with `struct rp_flow_key` keys
- * wants. */
+/* Hash and equality functions for a GHashTable with `struct rp_flow_key`
+ * keys. */
 unsigned RpFlowKey_Hash(const void *key);
 int RpFlowKey_EqualKeys(const void *a, const void *b);
 
-/* The two ends. */
+/* Return the source and the destination of a key. */
 static inline struct rp_endpoint
 RpFlowKey_Source(struct rp_flow_key key)
 {
@@ -86,7 +89,7 @@
     return (struct rp_endpoint){.ip = key.dst_ip, .port = key.dst_port};
 }
 
-/* Whether a packet asks to open a flow. */
+/* Returns whether a packet opens a flow, that is, is a SYN without an ACK. */
 static inline bool
 RpPacket_Opens(const struct rp_packet *packet)
 {
@@ -94,21 +97,24 @@
 }
 
 /* Copies `packet` into `out` (at least header_len bytes) without its
- * payload and with correct lengths and checksums; returns the new size. */
+ * payload, with correct lengths and checksums. Returns its new size in
+ * bytes. */
 size_t RpPacket_TrimPayload(const struct rp_packet *packet, uint8_t *out);
 
-/* Makes a bare segment (no options, no payload) from `key.src` to
- * `key.dst`. Returns RP_RESET_SIZE, the bytes written to `out`. */
+/* Writes a segment without TCP options and payload, from the source to the
+ * destination of `key`. Returns its size in bytes, RP_RESET_SIZE. */
 size_t RpPacket_MakeSegment(struct rp_flow_key key, uint8_t flags,
                             uint32_t seq, uint32_t ack,
                             uint8_t out[RP_RESET_SIZE]);
 
-/* Makes the reset that answers `packet` as RFC 9293 section 3.10.7.1 asks
- * for a connection that does not exist. */
+/* Writes the reset that answers `packet` as RFC 9293 section 3.10.7.1
+ * requires for a connection that does not exist. Returns its size in bytes,
+ * RP_RESET_SIZE. */
 size_t RpPacket_MakeReset(const struct rp_packet *packet,
                           uint8_t out[RP_RESET_SIZE]);
 
-/* Signed distance from sequence number `from` to `to`. */
+/* Returns the signed distance from sequence number `from` to `to`, modulo
+ * 2^32: negative if `to` comes first. */
 static inline int32_t
 RpSeq_Distance(uint32_t from, uint32_t to)
 {
--- a/lib/wire/rp_schema.c
+++ b/lib/wire/rp_schema.c
@@ -1,9 +1,10 @@
+/* Encodes and decodes structs by their schemas. */
 #include "rp_schema.h"
 
 #include <assert.h>
 #include <string.h>
 
-/* First bytes of msgpack values. */
+/* First bytes of msgpack values, as its specification names them. */
 #define TAG_FIXED_NUMBER_LAST 0x7f
 #define TAG_FIXED_ARRAY 0x90
 #define TAG_FIXED_ARRAY_LAST 0x9f
@@ -15,7 +16,7 @@
 #define TAG_ARRAY16 0xdc
 #define TAG_ARRAY32 0xdd
 
-/* The unsigned number in a member of 1, 2, 4 or 8 bytes. */
+/* Returns the unsigned number in a member of 1, 2, 4 or 8 bytes. */
 static uint64_t
 load_uint(const void *member, size_t size)
 {
@@ -32,6 +33,8 @@
     }
 }
 
+/* Stores a number in a member of `size` bytes; returns false if it is too
+ * large. */
 static bool
 store_uint(void *member, size_t size, uint64_t value)
 {
@@ -101,49 +104,50 @@
     }
 }
 
-/* What is left of a value that is being scanned. */
-struct scan {
-    const uint8_t *at;
-    size_t left;
+/* The rest of the bytes that are being checked. */
+struct reader {
+    const uint8_t *next;
+    size_t left; /* bytes */
 };
 
-/* Takes a big-endian number of `size` bytes; false at the end. */
+/* Reads a big-endian number of `size` bytes; returns false if fewer bytes are
+ * left. */
 static bool
-take_number(struct scan *scan, size_t size, uint64_t *number)
+read_number(struct reader *reader, size_t size, uint64_t *number)
 {
-    if (scan->left < size) {
+    if (reader->left < size) {
         return false;
     }
     *number = 0;
     for (size_t i = 0; i < size; i++) {
-        *number = *number << 8 | scan->at[i];
+        *number = *number << 8 | reader->next[i];
     }
-    scan->at += size;
-    scan->left -= size;
+    reader->next += size;
+    reader->left -= size;
     return true;
 }
 
 static bool
-skip(struct scan *scan, uint64_t len)
+skip_bytes(struct reader *reader, uint64_t len)
 {
-    if (scan->left < len) {
+    if (reader->left < len) {
         return false;
     }
-    scan->at += len;
-    scan->left -= len;
+    reader->next += len;
+    reader->left -= len;
     return true;
 }
 
-static bool scan_value(struct scan *scan, unsigned depth);
+static bool check_value(struct reader *reader, unsigned depth);
 
 static bool
-scan_array(struct scan *scan, uint64_t count, unsigned depth)
+check_array(struct reader *reader, uint64_t count, unsigned depth)
 {
-    if (count > scan->left || depth >= RP_DEPTH_MAX) {
+    if (count > reader->left || depth >= RP_DEPTH_MAX) {
         return false;
     }
     while (count-- > 0) {
-        if (!scan_value(scan, depth + 1)) {
+        if (!check_value(reader, depth + 1)) {
             return false;
         }
     }
@@ -151,36 +155,36 @@
 }
 
 static bool
-scan_value(struct scan *scan, unsigned depth)
+check_value(struct reader *reader, unsigned depth)
 {
     uint64_t tag;
     uint64_t number;
 
-    if (!take_number(scan, 1, &tag)) {
+    if (!read_number(reader, 1, &tag)) {
         return false;
     }
     if (tag <= TAG_FIXED_NUMBER_LAST) {
         return true;
     }
     if (tag >= TAG_FIXED_ARRAY && tag <= TAG_FIXED_ARRAY_LAST) {
-        return scan_array(scan, tag - TAG_FIXED_ARRAY, depth);
+        return check_array(reader, tag - TAG_FIXED_ARRAY, depth);
     }
     if (tag >= TAG_UINT8 && tag <= TAG_UINT64) {
-        return skip(scan, UINT64_C(1) << (tag - TAG_UINT8));
+        return skip_bytes(reader, UINT64_C(1) << (tag - TAG_UINT8));
     }
     switch (tag) {
     case TAG_BIN8:
-        return take_number(scan, 1, &number) && skip(scan, number);
+        return read_number(reader, 1, &number) && skip_bytes(reader, number);
     case TAG_BIN16:
-        return take_number(scan, 2, &number) && skip(scan, number);
+        return read_number(reader, 2, &number) && skip_bytes(reader, number);
     case TAG_BIN32:
-        return take_number(scan, 4, &number) && skip(scan, number);
+        return read_number(reader, 4, &number) && skip_bytes(reader, number);
     case TAG_ARRAY16:
-        return take_number(scan, 2, &number) &&
-               scan_array(scan, number, depth);
+        return read_number(reader, 2, &number) &&
+               check_array(reader, number, depth);
     case TAG_ARRAY32:
-        return take_number(scan, 4, &number) &&
-               scan_array(scan, number, depth);
+        return read_number(reader, 4, &number) &&
+               check_array(reader, number, depth);
     default:
         return false;
     }
@@ -189,9 +193,10 @@
 bool
 RpSchema_IsSane(struct rp_str bytes)
 {
-    struct scan scan = {.at = (const uint8_t *)bytes.data, .left = bytes.len};
+    struct reader reader = {.next = (const uint8_t *)bytes.data,
+                            .left = bytes.len};
 
-    return scan_value(&scan, 0) && scan.left == 0;
+    return check_value(&reader, 0) && reader.left == 0;
 }
 
 void
@@ -304,8 +309,9 @@
     return g_array_new(FALSE, TRUE, (guint)schema->size);
 }
 
+/* Output callback of the msgpack packer. */
 static int
-append_to_string(void *data, const char *bytes, size_t len)
+write_to_string(void *data, const char *bytes, size_t len)
 {
     g_string_append_len(data, bytes, (gssize)len);
     return 0;
@@ -317,7 +323,7 @@
     GString *out = g_string_new(NULL);
     msgpack_packer packer;
 
-    msgpack_packer_init(&packer, out, append_to_string);
+    msgpack_packer_init(&packer, out, write_to_string);
     RpSchema_Pack(schema, data, &packer);
     return out;
 }
@@ -334,10 +340,10 @@
         return false;
     }
     msgpack_unpacked_init(&unpacked);
-    bool good = msgpack_unpack_next(&unpacked, bytes.data, bytes.len,
-                                    &offset) == MSGPACK_UNPACK_SUCCESS &&
-                offset == bytes.len &&
-                RpSchema_Unpack(schema, &unpacked.data, data);
+    bool decoded = msgpack_unpack_next(&unpacked, bytes.data, bytes.len,
+                                       &offset) == MSGPACK_UNPACK_SUCCESS &&
+                   offset == bytes.len &&
+                   RpSchema_Unpack(schema, &unpacked.data, data);
     msgpack_unpacked_destroy(&unpacked);
-    return good;
+    return decoded;
 }
--- a/lib/wire/rp_session.c
+++ b/lib/wire/rp_session.c
@@ -1,3 +1,4 @@
+/* Frames and their authentication. */
 #include "rp_session.h"
 
 #include <assert.h>
@@ -5,23 +6,23 @@
 
 #include "rp_bytes.h"
 
-#define LENGTH_SIZE 4
-#define DIGEST_SIZE 32 /* of SHA-256 */
+#define LENGTH_SIZE 4  /* bytes */
+#define DIGEST_SIZE 32 /* bytes, SHA-256 */
 
-/* Each direction has its own frame numbers and marker. */
-struct half {
-    uint8_t nonce[RP_NONCE_SIZE];
+/* The state of one direction of the connection, which enters its MACs. */
+struct direction {
+    uint8_t nonce[RP_NONCE_SIZE]; /* of the sender */
     bool has_nonce;
-    uint8_t marker;
-    uint64_t frames;
+    uint8_t marker;  /* 'o': sent by the opening side; 'a': by the other */
+    uint64_t frames; /* number of the next frame */
 };
 
 struct rp_session {
     const struct rp_keyring *keyring;
-    struct half ours;
-    struct half theirs;
+    struct direction outgoing;
+    struct direction incoming;
     bool authenticated;
-    GString *input;
+    GString *input; /* received bytes of frames that are not decoded yet */
 };
 
 struct rp_session *
@@ -32,10 +33,10 @@
 
     assert(keyring->count >= 1);
     session->keyring = keyring;
-    memcpy(session->ours.nonce, nonce, RP_NONCE_SIZE);
-    session->ours.has_nonce = true;
-    session->ours.marker = opened_by_us ? 'o' : 'a';
-    session->theirs.marker = opened_by_us ? 'a' : 'o';
+    memcpy(session->outgoing.nonce, nonce, RP_NONCE_SIZE);
+    session->outgoing.has_nonce = true;
+    session->outgoing.marker = opened_by_us ? 'o' : 'a';
+    session->incoming.marker = opened_by_us ? 'a' : 'o';
     session->input = g_string_new(NULL);
     return session;
 }
@@ -55,11 +56,13 @@
     g_string_append_len(session->input, bytes.data, (gssize)bytes.len);
 }
 
-/* Writes the MAC of a frame that `from` sends to `to`. The opener's hello
- * is sent before the acceptor's nonce is known and does not cover it. */
+/* Writes the MAC of a frame in direction `from`; `to` is the opposite
+ * direction. The opening side sends its hello before it knows the accepting
+ * side's nonce, so the MAC of that hello does not cover it. */
 static void
-compute_mac(struct rp_str key, const struct half *from, const struct half *to,
-            bool cover_receiver, struct rp_str body, uint8_t mac[RP_MAC_SIZE])
+compute_mac(struct rp_str key, const struct direction *from,
+            const struct direction *to, bool cover_receiver_nonce,
+            struct rp_str body, uint8_t mac[RP_MAC_SIZE])
 {
     GHmac *hmac = g_hmac_new(G_CHECKSUM_SHA256, (const guchar *)key.data,
                              key.len);
@@ -71,7 +74,7 @@
     g_hmac_update(hmac, &from->marker, 1);
     g_hmac_update(hmac, number, sizeof number);
     g_hmac_update(hmac, from->nonce, RP_NONCE_SIZE);
-    if (cover_receiver) {
+    if (cover_receiver_nonce) {
         g_hmac_update(hmac, to->nonce, RP_NONCE_SIZE);
     }
     g_hmac_update(hmac, (const guchar *)body.data, (gssize)body.len);
@@ -80,17 +83,19 @@
     memcpy(mac, digest, RP_MAC_SIZE);
 }
 
+/* Returns whether the MAC is valid with any of the keys. */
 static bool
-mac_is_good(struct rp_session *session, const uint8_t *mac, struct rp_str body)
+verify_mac(struct rp_session *session, const uint8_t *mac, struct rp_str body)
 {
-    bool hello_of_opener = session->theirs.frames == 0 &&
-                           session->theirs.marker == 'o';
+    bool is_opener_hello = session->incoming.frames == 0 &&
+                           session->incoming.marker == 'o';
 
     for (size_t i = 0; i < session->keyring->count; i++) {
         uint8_t expected[RP_MAC_SIZE];
         uint8_t difference = 0;
-        compute_mac(session->keyring->key[i], &session->theirs, &session->ours,
-                    !hello_of_opener, body, expected);
+        compute_mac(session->keyring->key[i], &session->incoming,
+                    &session->outgoing, !is_opener_hello, body, expected);
+        /* Compares in constant time. */
         for (size_t j = 0; j < RP_MAC_SIZE; j++) {
             difference |= expected[j] ^ mac[j];
         }
@@ -101,51 +106,52 @@
     return false;
 }
 
-/* Takes the peer's nonce out of its hello, the only frame whose body is
- * decoded before its MAC can be checked. */
+/* Reads the peer's nonce from its hello. This is the only frame whose body is
+ * decoded before its MAC is verified, because the MAC covers the nonce. */
 static bool
-learn_nonce(struct rp_session *session, struct rp_str body)
+read_peer_nonce(struct rp_session *session, struct rp_str body)
 {
     struct rp_msg hello;
 
     if (!RpMsg_Decode(body, &hello)) {
         return false;
     }
-    bool good = hello.type == RP_MSG_HELLO;
-    if (good) {
-        memcpy(session->theirs.nonce, hello.hello.nonce, RP_NONCE_SIZE);
-        session->theirs.has_nonce = true;
+    bool is_hello = hello.type == RP_MSG_HELLO;
+    if (is_hello) {
+        memcpy(session->incoming.nonce, hello.hello.nonce, RP_NONCE_SIZE);
+        session->incoming.has_nonce = true;
     }
     RpMsg_Clear(&hello);
-    return good;
+    return is_hello;
 }
 
-/* Checks one frame and decodes its message. */
+/* Verifies one frame and decodes its message. */
 static bool
-open_frame(struct rp_session *session, struct rp_str frame, struct rp_msg *msg,
-           enum rp_counter *reason)
+decode_frame(struct rp_session *session, struct rp_str frame,
+             struct rp_msg *msg, enum rp_counter *reason)
 {
     const uint8_t *mac = (const uint8_t *)frame.data;
     struct rp_str body = {.data = frame.data + RP_MAC_SIZE,
                           .len = frame.len - RP_MAC_SIZE};
 
-    if (!session->theirs.has_nonce && !learn_nonce(session, body)) {
+    if (!session->incoming.has_nonce && !read_peer_nonce(session, body)) {
         *reason = RP_COUNT_FRAME_BAD_BODY;
         return false;
     }
-    if (!mac_is_good(session, mac, body)) {
+    if (!verify_mac(session, mac, body)) {
         *reason = RP_COUNT_FRAME_BAD_MAC;
         return false;
     }
-    if (session->theirs.frames > 0 || session->theirs.marker == 'a') {
+    /* Every frame but the opening side's hello covers our nonce. */
+    if (session->incoming.frames > 0 || session->incoming.marker == 'a') {
         session->authenticated = true;
     }
-    session->theirs.frames++;
+    session->incoming.frames++;
     if (!RpMsg_Decode(body, msg)) {
         *reason = RP_COUNT_FRAME_BAD_BODY;
         return false;
     }
-    if ((msg->type == RP_MSG_HELLO) != (session->theirs.frames == 1)) {
+    if ((msg->type == RP_MSG_HELLO) != (session->incoming.frames == 1)) {
         RpMsg_Clear(msg);
         *reason = RP_COUNT_FRAME_UNEXPECTED;
         return false;
@@ -174,9 +180,9 @@
         return RP_SESSION_WAIT;
     }
     struct rp_str frame = {.data = input->str + LENGTH_SIZE, .len = length};
-    bool good = open_frame(session, frame, msg, reason);
+    bool decoded = decode_frame(session, frame, msg, reason);
     g_string_erase(session->input, 0, (gssize)(LENGTH_SIZE + length));
-    return good ? RP_SESSION_MESSAGE : RP_SESSION_FAILED;
+    return decoded ? RP_SESSION_MESSAGE : RP_SESSION_FAILED;
 }
 
 void
@@ -188,15 +194,15 @@
     uint8_t length[LENGTH_SIZE];
     uint8_t mac[RP_MAC_SIZE];
 
-    assert((msg->type == RP_MSG_HELLO) == (session->ours.frames == 0));
+    assert((msg->type == RP_MSG_HELLO) == (session->outgoing.frames == 0));
     if (copy.type == RP_MSG_HELLO) {
-        memcpy(copy.hello.nonce, session->ours.nonce, RP_NONCE_SIZE);
+        memcpy(copy.hello.nonce, session->outgoing.nonce, RP_NONCE_SIZE);
     }
     RpMsg_Encode(&copy, body);
-    compute_mac(session->keyring->key[0], &session->ours, &session->theirs,
-                session->theirs.has_nonce,
+    compute_mac(session->keyring->key[0], &session->outgoing,
+                &session->incoming, session->incoming.has_nonce,
                 (struct rp_str){.data = body->str, .len = body->len}, mac);
-    session->ours.frames++;
+    session->outgoing.frames++;
     RpBytes_Put32(length, (uint32_t)(body->len + RP_MAC_SIZE));
     g_string_append_len(out, (const char *)length, LENGTH_SIZE);
     g_string_append_len(out, (const char *)mac, RP_MAC_SIZE);
--- a/tests/unit/test_wire.c
+++ b/tests/unit/test_wire.c
@@ -1,5 +1,5 @@
-/* Packets, Geneve and sessions: what is accepted, and what each kind of
- * bad input is refused for. */
+/* Tests of packets, Geneve, sessions and schemas: round trips, and the reason
+ * for which each kind of invalid input is refused. */
 #include <glib.h>
 #include <string.h>
 
@@ -27,8 +27,8 @@
     assert_int_equal(test.packet.payload_len, 10);
 }
 
-/* One byte of a good packet changed, or its length, and the reason that
- * follows. */
+/* A valid packet with one byte or its length changed is refused, with the
+ * expected reason. */
 static void
 test_bad_packets(void **state)
 {
@@ -43,12 +43,12 @@
         {0, 0x65, 50, RP_COUNT_DROP_BAD_IP},      /* version 6 */
         {0, 0x44, 50, RP_COUNT_DROP_BAD_IP},      /* header too small */
         {0, 0x4f, 50, RP_COUNT_DROP_BAD_IP},      /* header beyond the end */
-        {3, 51, 50, RP_COUNT_DROP_BAD_IP},        /* longer than it is */
+        {3, 51, 50, RP_COUNT_DROP_BAD_IP},        /* longer than the data */
         {3, 10, 50, RP_COUNT_DROP_BAD_IP},        /* shorter than its header */
         {6, 0x20, 50, RP_COUNT_DROP_FRAGMENT},    /* more fragments */
         {7, 1, 50, RP_COUNT_DROP_FRAGMENT},       /* fragment offset */
         {9, 17, 50, RP_COUNT_DROP_BAD_TRANSPORT}, /* UDP */
-        {3, 39, 50, RP_COUNT_DROP_BAD_TRANSPORT}, /* TCP header cut */
+        {3, 39, 50, RP_COUNT_DROP_BAD_TRANSPORT}, /* TCP header truncated */
         {32, 0x40, 50, RP_COUNT_DROP_BAD_TRANSPORT}, /* offset too small */
         {32, 0xf0, 50, RP_COUNT_DROP_BAD_TRANSPORT}, /* offset too large */
         {33, 0, 50, RP_COUNT_DROP_BAD_TRANSPORT},    /* no flags */
@@ -70,7 +70,7 @@
 }
 
 static void
-test_trim_and_reset(void **state)
+test_trim_payload_and_make_reset(void **state)
 {
     struct test_packet test;
     struct rp_packet parsed;
@@ -84,7 +84,7 @@
     assert_int_equal(parsed.payload_len, 0);
     assert_int_equal(parsed.seq, 100);
 
-    /* A SYN is refused with a reset that acknowledges all of it. */
+    /* The reset that answers a SYN acknowledges the SYN and its payload. */
     len = RpPacket_MakeReset(&test.packet, out);
     assert_true(RpPacket_Parse(out, len, &parsed, &reason));
     assert_int_equal(parsed.flags, RP_TCP_RST | RP_TCP_ACK);
@@ -138,7 +138,7 @@
     static const struct {
         size_t offset;
         uint8_t value;
-        size_t len; /* 0: whole */
+        size_t len; /* 0: the whole datagram */
         enum rp_counter reason;
     } cases[] = {
         {0, 0, 7, RP_COUNT_DROP_SHORT},
@@ -172,9 +172,9 @@
     }
 }
 
-/* An option that nobody here knows is skipped if it is not critical. */
+/* An unknown option that is not critical is skipped. */
 static void
-test_foreign_option(void **state)
+test_unknown_option(void **state)
 {
     uint8_t data[] = {2, 0, 8, 0, 0, 0, 0, 0, 1, 2, 0x10, 1, 9, 9, 9, 9, 'x'};
     struct rp_geneve geneve;
@@ -187,7 +187,7 @@
     assert_int_equal(geneve.inner_len, 1);
 }
 
-/* Two sides of a connection. */
+/* Both sides of a connection. */
 struct session_pair {
     struct rp_session *opener;
     struct rp_session *acceptor;
@@ -219,22 +219,22 @@
     RpSession_Free(pair.acceptor);
 }
 
-/* Sends a message from one session to another and takes it out there. */
+/* Sends a message from one session to the other, which decodes it. */
 static enum rp_session_result
-carry(struct rp_session *from, struct rp_session *to, const struct rp_msg *msg,
-      GString *wire, enum rp_counter *reason)
+transfer(struct rp_session *from, struct rp_session *to,
+         const struct rp_msg *msg, GString *wire, enum rp_counter *reason)
 {
-    struct rp_msg got;
+    struct rp_msg received;
 
     g_string_truncate(wire, 0);
     RpSession_Send(from, msg, wire);
     RpSession_Receive(to,
                       (struct rp_str){.data = wire->str, .len = wire->len});
-    enum rp_session_result result = RpSession_Next(to, &got, reason);
+    enum rp_session_result result = RpSession_Next(to, &received, reason);
     if (result == RP_SESSION_MESSAGE) {
-        assert_int_equal(got.type, msg->type);
+        assert_int_equal(received.type, msg->type);
     }
-    RpMsg_Clear(&got);
+    RpMsg_Clear(&received);
     return result;
 }
 
@@ -250,21 +250,24 @@
     enum rp_counter reason;
 
     (void)state;
-    assert_int_equal(carry(pair.opener, pair.acceptor, &hello, wire, &reason),
-                     RP_SESSION_MESSAGE);
+    assert_int_equal(
+        transfer(pair.opener, pair.acceptor, &hello, wire, &reason),
+        RP_SESSION_MESSAGE);
     assert_false(RpSession_IsAuthenticated(pair.acceptor));
-    assert_int_equal(carry(pair.acceptor, pair.opener, &hello, wire, &reason),
-                     RP_SESSION_MESSAGE);
+    assert_int_equal(
+        transfer(pair.acceptor, pair.opener, &hello, wire, &reason),
+        RP_SESSION_MESSAGE);
     assert_true(RpSession_IsAuthenticated(pair.opener));
-    assert_int_equal(carry(pair.opener, pair.acceptor, &ping, wire, &reason),
-                     RP_SESSION_MESSAGE);
+    assert_int_equal(
+        transfer(pair.opener, pair.acceptor, &ping, wire, &reason),
+        RP_SESSION_MESSAGE);
     assert_true(RpSession_IsAuthenticated(pair.acceptor));
 
-    /* The same frame again is a replay. */
-    struct rp_msg got;
+    /* The same frame a second time is a replay and is refused. */
+    struct rp_msg received;
     RpSession_Receive(pair.acceptor,
                       (struct rp_str){.data = wire->str, .len = wire->len});
-    assert_int_equal(RpSession_Next(pair.acceptor, &got, &reason),
+    assert_int_equal(RpSession_Next(pair.acceptor, &received, &reason),
                      RP_SESSION_FAILED);
     assert_int_equal(reason, RP_COUNT_FRAME_BAD_MAC);
     free_pair(pair);
@@ -293,7 +296,7 @@
                                              cases[i].acceptor);
         enum rp_counter reason = RP_COUNTER_COUNT;
         assert_int_equal(
-            carry(pair.opener, pair.acceptor, &hello, wire, &reason),
+            transfer(pair.opener, pair.acceptor, &hello, wire, &reason),
             cases[i].result);
         if (cases[i].result == RP_SESSION_FAILED) {
             assert_int_equal(reason, RP_COUNT_FRAME_BAD_MAC);
@@ -338,24 +341,24 @@
 }
 
 static void
-test_sane_bodies(void **state)
+test_well_formed_bodies(void **state)
 {
     static const struct {
         const char *bytes;
         size_t len;
-        bool sane;
+        bool well_formed;
     } cases[] = {
         {"\x07", 1, true},
         {"\xcd\x01\x02", 3, true},
-        {"\xcd\x01", 2, false}, /* a number cut short */
+        {"\xcd\x01", 2, false}, /* a truncated number */
         {"\x07\x07", 2, false}, /* two values */
         {"", 0, false},
         {"\x92\x01\xc4\x02hi", 6, true},    /* [1, "hi"] */
-        {"\x92\x01", 2, false},             /* an entry is missing */
+        {"\x92\x01", 2, false},             /* an element is missing */
         {"\xc4\x05hi", 4, false},           /* bytes are missing */
-        {"\xdd\xff\xff\xff\xff", 5, false}, /* claims 4 billion entries */
+        {"\xdd\xff\xff\xff\xff", 5, false}, /* claims 4 billion elements */
         {"\xdf\xff\xff\xff\xff", 5, false}, /* a map */
-        {"\x91\x91\x91\x91\x91\x91\x91\x91\x91\x01", 10, false}, /* deep */
+        {"\x91\x91\x91\x91\x91\x91\x91\x91\x91\x01", 10, false}, /* too deep */
         {"\xca\x00\x00\x00\x00", 5, false},                      /* a float */
     };
 
@@ -363,12 +366,12 @@
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
         assert_int_equal(RpSchema_IsSane((struct rp_str){
                              .data = cases[i].bytes, .len = cases[i].len}),
-                         cases[i].sane);
+                         cases[i].well_formed);
     }
 }
 
-/* Decoders must survive anything: frames, datagrams and packets with bytes
- * changed at random, by fixed seeds. */
+/* No input may crash the decoders: decodes messages, datagrams and packets
+ * with random bytes changed, from fixed seeds. */
 static void
 test_mutations(void **state)
 {
@@ -386,29 +389,31 @@
     RpMsg_Clear(&msg);
 
     for (guint32 seed = 0; seed < 20000; seed++) {
-        GRand *dice = g_rand_new_with_seed(seed);
-        GString *bad = g_string_new_len(good->str, (gssize)good->len);
+        GRand *rng = g_rand_new_with_seed(seed);
+        GString *mutated = g_string_new_len(good->str, (gssize)good->len);
         uint8_t data[512];
         struct rp_geneve geneve;
         struct rp_packet packet;
         enum rp_counter reason;
         size_t len = write_test_datagram(data);
         for (int i = 0; i < 3; i++) {
-            bad->str[g_rand_int_range(dice, 0, (gint32)bad->len)] =
-                (char)g_rand_int_range(dice, 0, 256);
-            data[g_rand_int_range(dice, 0, (gint32)len)] =
-                (uint8_t)g_rand_int_range(dice, 0, 256);
+            mutated->str[g_rand_int_range(rng, 0, (gint32)mutated->len)] =
+                (char)g_rand_int_range(rng, 0, 256);
+            data[g_rand_int_range(rng, 0, (gint32)len)] =
+                (uint8_t)g_rand_int_range(rng, 0, 256);
         }
-        size_t cut = (size_t)g_rand_int_range(dice, 0, (gint32)bad->len + 1);
-        if (RpMsg_Decode((struct rp_str){.data = bad->str, .len = cut},
-                         &msg)) {
+        size_t truncated_len = (size_t)g_rand_int_range(
+            rng, 0, (gint32)mutated->len + 1);
+        if (RpMsg_Decode(
+                (struct rp_str){.data = mutated->str, .len = truncated_len},
+                &msg)) {
             RpMsg_Clear(&msg);
         }
         if (RpGeneve_Parse(data, len, RP_GENEVE_IPV4, &geneve, &reason)) {
             RpPacket_Parse(geneve.inner, geneve.inner_len, &packet, &reason);
         }
-        g_string_free(bad, TRUE);
-        g_rand_free(dice);
+        g_string_free(mutated, TRUE);
+        g_rand_free(rng);
     }
     g_string_free(good, TRUE);
 }
@@ -419,14 +424,14 @@
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(test_packet_round_trip),
         cmocka_unit_test(test_bad_packets),
-        cmocka_unit_test(test_trim_and_reset),
+        cmocka_unit_test(test_trim_payload_and_make_reset),
         cmocka_unit_test(test_geneve_round_trip),
         cmocka_unit_test(test_bad_geneve),
-        cmocka_unit_test(test_foreign_option),
+        cmocka_unit_test(test_unknown_option),
         cmocka_unit_test(test_session_handshake),
         cmocka_unit_test(test_session_keys),
         cmocka_unit_test(test_session_bad_input),
-        cmocka_unit_test(test_sane_bodies),
+        cmocka_unit_test(test_well_formed_bodies),
         cmocka_unit_test(test_mutations),
     };
 
