--- a/lib/common/rp_chart.c
+++ b/lib/common/rp_chart.c
@@ -1,3 +1,4 @@
+/* Parser and lookup of state charts. */
 #include "rp_chart.h"
 
 #include <assert.h>
@@ -5,9 +6,9 @@
 
 #define WORDS_PER_LINE 4
 
-/* The index of `word` among `names`, or -1. */
+/* Returns the index of `word` in `names`, or -1. */
 static int
-index_of(const char *const *names, struct rp_str word)
+find_name(const char *const *names, struct rp_str word)
 {
     for (int i = 0; names[i]; i++) {
         if (RpStr_Equal(RpStr_FromC(names[i]), word)) {
@@ -17,7 +18,8 @@
     return -1;
 }
 
-/* Splits a line at blanks; returns how many words there are. */
+/* Splits a line at blanks; stores the first words and returns the number of
+ * all words. */
 static size_t
 split_words(struct rp_str line, struct rp_str words[WORDS_PER_LINE])
 {
@@ -36,9 +38,10 @@
     return count;
 }
 
+/* Parses one line without its comment and stores its transition, if any. */
 static enum rp_code
-add_line(struct rp_chart *chart, const struct rp_chart_names *names,
-         struct rp_str line, const char *place, struct rp_error *error)
+parse_line(struct rp_chart *chart, const struct rp_chart_names *names,
+           struct rp_str line, const char *place, struct rp_error *error)
 {
     struct rp_str words[WORDS_PER_LINE];
     size_t count = split_words(line, words);
@@ -47,29 +50,36 @@
         return RP_OK;
     }
     if (count != WORDS_PER_LINE) {
-        return RpError_Add(error, RP_ERR_FORMAT, place,
-                           "expected: state event next-state action");
+        return RpError_Add(
+            error, RP_ERR_FORMAT, place,
+            "expected four words (state event next-state action), "
+            "found %zu",
+            count);
     }
-    int state = index_of(names->states, words[0]);
-    int event = index_of(names->events, words[1]);
-    int next = index_of(names->states, words[2]);
-    int action = index_of(names->actions, words[3]);
+    int state = find_name(names->states, words[0]);
+    int event = find_name(names->events, words[1]);
+    int next = find_name(names->states, words[2]);
+    int action = find_name(names->actions, words[3]);
     if (state < 0 || event < 0 || next < 0 || action < 0) {
-        return RpError_Add(error, RP_ERR_FORMAT, place, "unknown name");
+        return RpError_Add(error, RP_ERR_FORMAT, place,
+                           "unknown state, event or action in \"%.*s\"",
+                           (int)line.len, line.data);
     }
     assert(state < RP_CHART_MAX_STATES && event < RP_CHART_MAX_EVENTS);
     struct rp_chart_step *step = &chart->steps[state][event];
     if (step->listed) {
         return RpError_Add(error, RP_ERR_FORMAT, place,
-                           "transition given twice");
+                           "second transition for state %s and event %s",
+                           names->states[state], names->events[event]);
     }
     *step = (struct rp_chart_step){
         .next = (uint8_t)next, .action = (uint8_t)action, .listed = 1};
     return RP_OK;
 }
 
+/* Makes every event keep the state and do nothing. */
 static void
-fill_defaults(struct rp_chart *chart)
+set_defaults(struct rp_chart *chart)
 {
     for (uint8_t state = 0; state < RP_CHART_MAX_STATES; state++) {
         for (uint8_t event = 0; event < RP_CHART_MAX_EVENTS; event++) {
@@ -85,7 +95,7 @@
     enum rp_code result = RP_OK;
 
     memset(chart, 0, sizeof *chart);
-    fill_defaults(chart);
+    set_defaults(chart);
     for (unsigned number = 1; text.len; number++) {
         struct rp_str comment;
         struct rp_str rest;
@@ -93,7 +103,7 @@
         gchar *place = g_strdup_printf("%s line %u", file, number);
 
         line = RpStr_Split(line, '#', &comment);
-        enum rp_code code = add_line(chart, names, line, place, error);
+        enum rp_code code = parse_line(chart, names, line, place, error);
         g_free(place);
         if (code != RP_OK) {
             result = code;
--- a/lib/common/rp_counters.c
+++ b/lib/common/rp_counters.c
@@ -1,3 +1,4 @@
+/* Names and explanations of the counters. */
 #include "rp_counters.h"
 
 static const struct {
--- a/lib/common/rp_endpoint.c
+++ b/lib/common/rp_endpoint.c
@@ -1,3 +1,4 @@
+/* Parsing and formatting of addresses and endpoints. */
 #include "rp_endpoint.h"
 
 #include <glib.h>
@@ -5,7 +6,7 @@
 bool
 RpIp_Parse(struct rp_str text, uint32_t *ip)
 {
-    uint32_t sum = 0;
+    uint32_t address = 0;
 
     for (int i = 0; i < 4; i++) {
         struct rp_str rest;
@@ -18,10 +19,10 @@
         if ((i < 3) != (part.len < text.len)) {
             return false;
         }
-        sum = sum << 8 | (uint32_t)octet;
+        address = address << 8 | (uint32_t)octet;
         text = rest;
     }
-    *ip = sum;
+    *ip = address;
     return true;
 }
 
--- a/lib/common/rp_endpoint.h
+++ b/lib/common/rp_endpoint.h
@@ -1,4 +1,4 @@
-/* IPv4 address and port, in host byte order. */
+/* IPv4 addresses and endpoints (address and port), in host byte order. */
 #ifndef RP_ENDPOINT_H
 #define RP_ENDPOINT_H
 
@@ -7,29 +7,31 @@
 
 #include "rp_str.h"
 
-#define RP_ENDPOINT_TEXT_MAX 24 /* bytes of "255.255.255.255:65535", NUL */
+#define RP_ENDPOINT_TEXT_MAX 24 /* bytes for "255.255.255.255:65535", NUL */
 
 struct rp_endpoint {
     uint32_t ip;
     uint16_t port;
 };
 
-/* Parses dotted-quad text. */
+/* Parses "a.b.c.d"; returns false if `text` is not such an address. */
 bool RpIp_Parse(struct rp_str text, uint32_t *ip);
 
-/* Writes the dotted-quad form and returns `out`. */
+/* Writes "a.b.c.d" to `out` and returns `out`. */
 const char *RpIp_Format(uint32_t ip, char out[RP_ENDPOINT_TEXT_MAX]);
 
-/* Parses "a.b.c.d:port"; port 0 is not accepted. */
+/* Parses "a.b.c.d:port" with a port from 1 to 65535; returns false if `text`
+ * is not such an endpoint. */
 bool RpEndpoint_Parse(struct rp_str text, struct rp_endpoint *endpoint);
 
-/* Writes "a.b.c.d:port" and returns `out`. */
+/* Writes "a.b.c.d:port" to `out` and returns `out`. */
 const char *RpEndpoint_Format(struct rp_endpoint endpoint,
                               char out[RP_ENDPOINT_TEXT_MAX]);
 
-/* The endpoint as one number, for hash tables with 64-bit keys. */
+/* Returns the endpoint as one number, for hash tables with 64-bit keys. */
 uint64_t RpEndpoint_Key(struct rp_endpoint endpoint);
 
+/* Returns whether address and port are equal. */
 bool RpEndpoint_Equal(struct rp_endpoint a, struct rp_endpoint b);
 
 #endif
--- a/lib/common/rp_error.c
+++ b/lib/common/rp_error.c
@@ -1,3 +1,4 @@
+/* Collecting and formatting findings. */
 #include "rp_error.h"
 
 #include <assert.h>
--- a/lib/common/rp_error.h
+++ b/lib/common/rp_error.h
@@ -1,9 +1,10 @@
-/* Errors: a struct passed down that collects findings with their place.
+/* Error handling: error codes, and a list of findings (error messages with
+ * their place) that callees fill.
  *
  * A function that can fail takes a `struct rp_error *` and returns an
- * `enum rp_code`. It adds one finding for each thing that is wrong, so that
- * a caller can report all of them together. RP_FORWARD_IF_ERROR returns the
- * code of a failed call to the caller's caller.
+ * `enum rp_code`. It adds one finding for each error, so that the caller can
+ * report all errors together. RP_FORWARD_IF_ERROR returns the code of a failed
+ * call from the enclosing function.
  */
 #ifndef RP_ERROR_H
 #define RP_ERROR_H
@@ -13,24 +14,25 @@
 
 #include "rp_str.h"
 
-/* What kind of failure it is. RP_OK is not a failure. */
+/* The kind of a failure; RP_OK is success. These numbers are sent in messages.
+ */
 enum rp_code {
     RP_OK = 0,
-    RP_ERR_SETTING,   /* a flag or an environment variable is wrong */
-    RP_ERR_DOCUMENT,  /* a service document is wrong */
+    RP_ERR_SETTING,   /* a flag or an environment variable is invalid */
+    RP_ERR_DOCUMENT,  /* a service document is invalid */
     RP_ERR_CONFLICT,  /* based on a revision that is no longer current */
     RP_ERR_NOT_FOUND, /* no such service or instance */
-    RP_ERR_FORMAT,    /* bytes that cannot be decoded */
-    RP_ERR_AUTH,      /* a frame or peer that failed authentication */
+    RP_ERR_FORMAT,    /* input cannot be decoded */
+    RP_ERR_AUTH,      /* a frame or peer failed authentication */
     RP_ERR_LIMIT,     /* over a size or count limit */
-    RP_ERR_IO,        /* the operating system refused */
+    RP_ERR_IO,        /* a system call failed */
     RP_ERR_CORRUPT,   /* stored data is damaged */
-    RP_ERR_NO_LEADER, /* this replica cannot decide just now */
+    RP_ERR_NO_LEADER, /* this replica cannot commit changes now */
     RP_ERR_TIMEOUT,   /* no answer before the deadline */
     RP_CODE_COUNT
 };
 
-/* One thing that is wrong, and where: a flag, "line 4", a file. */
+/* One error and its place: a flag, "line 4", a file. */
 struct rp_finding {
     enum rp_code code;
     GString *place;
@@ -39,10 +41,11 @@
 
 /* The findings so far, in the order in which they were added. */
 struct rp_error {
-    GArray *findings; /* of struct rp_finding; NULL while there are none */
+    GArray *findings; /* of struct rp_finding; NULL if there are none */
 };
 
-/* Returns the failed call's code from the enclosing function. */
+/* Evaluates `call`; if it fails, returns its code from the enclosing function.
+ */
 #define RP_FORWARD_IF_ERROR(call)                                             \
     do {                                                                      \
         enum rp_code forwarded_code_ = (call);                                \
@@ -51,28 +54,31 @@
         }                                                                     \
     } while (0)
 
-/* An error without findings. Free it with RpError_Clear. */
+/* Makes `error` empty. Free its findings with RpError_Clear. */
 void RpError_Init(struct rp_error *error);
 
-/* Drops all findings; `error` can be used again. */
+/* Frees all findings; `error` can be used again. */
 void RpError_Clear(struct rp_error *error);
 
-/* Adds a finding and returns `code`. A NULL `error` only returns it. */
+/* Adds a finding and returns `code`, which must not be RP_OK. If `error` is
+ * NULL, only returns `code`. */
 enum rp_code RpError_Add(struct rp_error *error, enum rp_code code,
                          const char *place, const char *format, ...)
     G_GNUC_PRINTF(4, 5);
 
-/* How many findings there are. */
+/* Returns the number of findings. */
 size_t RpError_Count(const struct rp_error *error);
 
-/* Finding number `index`, which must exist. */
+/* Returns the finding at `index`, which must exist. It is valid until the next
+ * call of RpError_Add or RpError_Clear. */
 const struct rp_finding *RpError_Get(const struct rp_error *error,
                                      size_t index);
 
-/* Appends each finding as a line "place: text" to `out`. */
+/* Appends a line "place: text" to `out` for each finding. */
 void RpError_Format(const struct rp_error *error, GString *out);
 
-/* The code's stable lower-case name, as used in logs and on the wire. */
+/* Returns the lower-case name of a code. Logs and output for operators use it,
+ * so it never changes. */
 const char *RpCode_Name(enum rp_code code);
 
 #endif
--- a/lib/common/rp_histogram.c
+++ b/lib/common/rp_histogram.c
@@ -1,3 +1,4 @@
+/* Histograms and their text format. */
 #include "rp_histogram.h"
 
 #include "rp_time.h"
@@ -17,36 +18,36 @@
 void
 RpHistogram_Add(struct rp_histogram *histogram, int64_t duration_us)
 {
-    size_t place = 0;
+    size_t i = 0;
 
     duration_us = MAX(duration_us, 0);
-    while (place < RP_HISTOGRAM_BUCKETS - 1 &&
-           duration_us > bounds_ms[place] * RP_US_PER_MS) {
-        place++;
+    while (i < RP_HISTOGRAM_BUCKETS - 1 &&
+           duration_us > bounds_ms[i] * RP_US_PER_MS) {
+        i++;
     }
-    histogram->bucket[place]++;
+    histogram->bucket[i]++;
     histogram->count++;
     histogram->sum_us += duration_us;
 }
 
 static void
-format_one(const struct rp_histogram *histogram, enum rp_histogram_id id,
-           const char *role, GString *out)
+format_histogram(const struct rp_histogram *histogram, enum rp_histogram_id id,
+                 const char *role, GString *out)
 {
     const char *name = RpHistogram_Name(id);
-    uint64_t below = 0;
+    uint64_t cumulative = 0;
 
     g_string_append_printf(out,
                            "# HELP radishport_%s %s\n"
                            "# TYPE radishport_%s histogram\n",
                            name, RpHistogram_Help(id), name);
     for (size_t i = 0; i < RP_HISTOGRAM_BUCKETS - 1; i++) {
-        below += histogram->bucket[i];
+        cumulative += histogram->bucket[i];
         g_string_append_printf(
             out,
             "radishport_%s_bucket{role=\"%s\",le=\"%g\"} %" G_GUINT64_FORMAT
             "\n",
-            name, role, (double)bounds_ms[i] / 1000.0, below);
+            name, role, (double)bounds_ms[i] / 1000.0, cumulative);
     }
     g_string_append_printf(
         out,
@@ -63,7 +64,8 @@
                     GString *out)
 {
     for (int i = 0; i < RP_HISTOGRAM_COUNT; i++) {
-        format_one(&histograms->item[i], (enum rp_histogram_id)i, role, out);
+        format_histogram(&histograms->item[i], (enum rp_histogram_id)i, role,
+                         out);
     }
 }
 
--- a/lib/common/rp_histogram.h
+++ b/lib/common/rp_histogram.h
@@ -1,5 +1,7 @@
-/* Latency histograms with fixed buckets, served as the Prometheus text
- * format has them. The list names each histogram once: symbol, metric name
+/* Latency histograms with fixed buckets, in the Prometheus text format.
+ *
+ * The list below is the only definition of the histograms. X(symbol, name,
+ * help) gives the enum constant RP_HISTOGRAM_<symbol>, the name in metrics,
  * and a line of explanation. */
 #ifndef RP_HISTOGRAM_H
 #define RP_HISTOGRAM_H
@@ -10,17 +12,17 @@
 /* clang-format off */
 #define RP_HISTOGRAM_LIST(X)                                                  \
     X(SYN_ANSWER, "syn_answer_seconds",                                       \
-      "from giving a SYN to the host until its answer")                       \
+      "time from sending a SYN to the host until its answer")                       \
     X(FIRST_BYTE, "first_byte_seconds",                                       \
-      "from a request's first byte until its answer's")                       \
+      "time from a request's first byte to its response's first byte")                       \
     X(REQUEST_KEPT, "request_kept_seconds",                                   \
-      "how long requests waited at the gate")                                 \
+      "time that requests waited in the request queue")                                 \
     X(DISK_SYNC, "disk_sync_seconds",                                         \
-      "how long the disk took to sync the journal")                           \
+      "time to sync the journal to disk")                           \
     X(CHANGE_DECIDED, "change_decided_seconds",                               \
-      "from receiving an edition until it is committed")                      \
+      "time from receiving an edition until it is committed")                      \
     X(IN_FORCE, "in_force_seconds",                                           \
-      "from committing a change until a node confirms it")
+      "time from committing a change until a node confirms it")
 /* clang-format on */
 
 enum rp_histogram_id {
@@ -30,28 +32,33 @@
         RP_HISTOGRAM_COUNT
 };
 
-/* Upper bounds from 1 ms to 10 s, in steps of 1, 2 and 5; the last bucket
- * holds what is above. */
+/* The upper bounds of the buckets are 1, 2 and 5 times powers of ten, from
+ * 1 ms to 10 s. The last bucket counts all longer durations. */
 #define RP_HISTOGRAM_BUCKETS 14
 
 struct rp_histogram {
-    uint64_t bucket[RP_HISTOGRAM_BUCKETS];
+    uint64_t bucket[RP_HISTOGRAM_BUCKETS]; /* not cumulative */
     uint64_t count;
     int64_t sum_us;
 };
 
+/* All histograms of a process. */
 struct rp_histograms {
     struct rp_histogram item[RP_HISTOGRAM_COUNT];
 };
 
-/* Adds one duration in microseconds; negative ones count as 0. */
+/* Adds a duration in microseconds. A negative duration counts as 0. */
 void RpHistogram_Add(struct rp_histogram *histogram, int64_t duration_us);
 
-/* Appends all histograms in the text format, each with the role as label. */
+/* Appends all histograms to `out` in the Prometheus text format, with `role`
+ * as a label. */
 void RpHistograms_Format(const struct rp_histograms *histograms,
                          const char *role, GString *out);
 
+/* Returns the name of a histogram in metrics, without the prefix. */
 const char *RpHistogram_Name(enum rp_histogram_id id);
+
+/* Returns one line that explains a histogram. */
 const char *RpHistogram_Help(enum rp_histogram_id id);
 
 #endif
--- a/lib/common/rp_log.c
+++ b/lib/common/rp_log.c
@@ -1,23 +1,24 @@
+/* Log lines, their rate limit and their output. */
 #include "rp_log.h"
 
 #include <limits.h>
 #include <poll.h>
 #include <stdarg.h>
 
-/* How often one event was written in the current window. */
+/* Rate limit of one event name. */
 struct event_rate {
-    int64_t window_end; /* monotonic microseconds */
-    uint64_t budget;
-    uint64_t written;
-    uint64_t suppressed;
+    int64_t window_end_us; /* on the monotonic clock */
+    uint64_t budget;       /* lines allowed in each window */
+    uint64_t written;      /* lines in the current window */
+    uint64_t suppressed;   /* lines that are not reported yet */
 };
 
 struct rp_log {
     FILE *out;
     enum rp_log_level level;
-    GString *prefix;
+    GString *prefix;   /* the role and name pairs of each line */
     GHashTable *rates; /* event name -> struct event_rate */
-    uint64_t lost;
+    uint64_t lost;     /* lines */
 };
 
 static const char *const level_names[RP_LOG_LEVEL_COUNT] = {
@@ -55,8 +56,9 @@
     g_free(log);
 }
 
+/* Returns the rate limit of an event; creates it with the default budget. */
 static struct event_rate *
-rate_of(struct rp_log *log, const char *event)
+get_rate(struct rp_log *log, const char *event)
 {
     struct event_rate *rate = g_hash_table_lookup(log->rates, event);
 
@@ -71,23 +73,24 @@
 void
 RpLog_SetBudget(struct rp_log *log, const char *event, uint64_t lines)
 {
-    rate_of(log, event)->budget = lines;
+    get_rate(log, event)->budget = lines;
 }
 
-/* Whether the event may write a line now; `*suppressed` gets how many lines
- * the window before held back. */
+/* Counts a line of the event and returns whether it may be written. With the
+ * first line of a window, sets `*suppressed` to the number of lines that were
+ * suppressed before; else to 0. */
 static bool
-take_turn(struct rp_log *log, const char *event, uint64_t *suppressed)
+spend_budget(struct rp_log *log, const char *event, uint64_t *suppressed)
 {
     int64_t now = g_get_monotonic_time();
-    struct event_rate *rate = rate_of(log, event);
+    struct event_rate *rate = get_rate(log, event);
 
     *suppressed = 0;
-    if (now >= rate->window_end) {
+    if (now >= rate->window_end_us) {
         *suppressed = rate->suppressed;
         rate->suppressed = 0;
         rate->written = 0;
-        rate->window_end = now + RP_LOG_WINDOW_US;
+        rate->window_end_us = now + RP_LOG_WINDOW_US;
     }
     if (rate->written >= rate->budget) {
         rate->suppressed++;
@@ -97,20 +100,22 @@
     return true;
 }
 
-/* Whether a line can be written without waiting. Files always can, and a
- * stream without a descriptor is memory. */
+/* Returns whether a line can be written without blocking. Regular files can
+ * always be written, and so can a memory stream, which has no descriptor. */
 static bool
-is_writable(struct rp_log *log)
+can_write(struct rp_log *log)
 {
-    struct pollfd descriptor = {.fd = fileno(log->out), .events = POLLOUT};
+    struct pollfd output = {.fd = fileno(log->out), .events = POLLOUT};
 
-    return descriptor.fd < 0 || poll(&descriptor, 1, 0) == 1;
+    return output.fd < 0 || poll(&output, 1, 0) == 1;
 }
 
+/* Writes a line, or counts it as lost. poll() promises a pipe at least
+ * PIPE_BUF bytes of space, so a longer line could block. */
 static void
 write_line(struct rp_log *log, const GString *line)
 {
-    if (line->len > PIPE_BUF || !is_writable(log)) {
+    if (line->len > PIPE_BUF || !can_write(log)) {
         log->lost++;
         return;
     }
@@ -131,9 +136,9 @@
     GList *events = g_hash_table_get_keys(log->rates);
 
     for (GList *link = events; link; link = link->next) {
-        struct event_rate *rate = rate_of(log, link->data);
+        struct event_rate *rate = get_rate(log, link->data);
         uint64_t count = rate->suppressed;
-        if (count > 0 && now >= rate->window_end) {
+        if (count > 0 && now >= rate->window_end_us) {
             rate->suppressed = 0;
             RpLog_Event(log, RP_LOG_WARN, "lines_left_out",
                         "of=%s count=%" G_GUINT64_FORMAT,
@@ -149,7 +154,7 @@
 {
     uint64_t suppressed;
 
-    if (!log || level < log->level || !take_turn(log, event, &suppressed)) {
+    if (!log || level < log->level || !spend_budget(log, event, &suppressed)) {
         return;
     }
     GDateTime *now = g_date_time_new_now_utc();
--- a/lib/common/rp_log.h
+++ b/lib/common/rp_log.h
@@ -1,14 +1,13 @@
-/* Structured logs: one line of key=value pairs for each event.
- *
- * A line reads
+/* Structured logs: one line of key=value pairs for each event, such as
  *
  *     time=… level=info role=agent name=lens-1 event=flow_refused reason=…
  *
- * Each event name may write RP_LOG_BURST lines (or a budget of its own)
- * within one RP_LOG_WINDOW_US; what is over that is counted and reported by
- * the next line of that event as suppressed=N, or by RpLog_Report.
+ * The rate of each event is limited: in a window of RP_LOG_WINDOW_US, an event
+ * name may write RP_LOG_BURST lines, or the number that RpLog_SetBudget set.
+ * Further lines are suppressed and counted. The count is written with the next
+ * line of that event as suppressed=N, or by RpLog_Report.
  *
- * A log never waits: while nobody reads what it writes, lines are lost and
+ * Writing never blocks: a line that the output cannot take at once is lost and
  * counted.
  */
 #ifndef RP_LOG_H
@@ -20,8 +19,8 @@
 
 #include "rp_str.h"
 
-#define RP_LOG_BURST 20                   /* lines per event and window */
-#define RP_LOG_WINDOW_US INT64_C(1000000) /* microseconds */
+#define RP_LOG_BURST 20 /* lines per event name and window */
+#define RP_LOG_WINDOW_US INT64_C(1000000)
 
 enum rp_log_level {
     RP_LOG_DEBUG,
@@ -33,34 +32,37 @@
 
 struct rp_log;
 
-/* A log that writes lines at or above `level` to `out` (borrowed). `role`
- * and `name` are written on each line. Free it with RpLog_Free. */
+/* Creates a log that writes events of at least `level` to `out`, which it
+ * borrows. Each line contains `role` and `name`. Free it with RpLog_Free. */
 struct rp_log *RpLog_Create(FILE *out, enum rp_log_level level,
                             const char *role, const char *name);
 
+/* Frees a log; `log` may be NULL. */
 void RpLog_Free(struct rp_log *log);
 
-/* Writes one event. `format` gives the pairs after event=…, already in
- * key=value form; use RpLog_Quote for values that may hold blanks. A NULL
- * `log` writes nothing. */
+/* Writes a line for an event. `format` produces the pairs after event=… in
+ * key=value form; quote values that may contain blanks with RpLog_Quote. Does
+ * nothing if `log` is NULL. */
 void RpLog_Event(struct rp_log *log, enum rp_log_level level,
                  const char *event, const char *format, ...)
     G_GNUC_PRINTF(4, 5);
 
-/* Gives an event a budget of its own, in lines a window. */
+/* Sets how many lines an event may write in each window. */
 void RpLog_SetBudget(struct rp_log *log, const char *event, uint64_t lines);
 
-/* Writes a line for each event of which lines were left out in a window that
- * is over: event=lines_left_out of=EVENT count=N. */
+/* Writes event=lines_left_out of=EVENT count=N for each event that had lines
+ * suppressed in a window that is over. */
 void RpLog_Report(struct rp_log *log);
 
-/* Lines lost because nobody read them. */
+/* Returns the number of lines that were lost because the output could not take
+ * them at once, or because they were longer than PIPE_BUF. */
 uint64_t RpLog_Lost(const struct rp_log *log);
 
-/* Appends `value` to `out`, in double quotes with escapes if it needs them. */
+/* Appends `value` to `out`, with double quotes and escapes if it contains
+ * blanks or special characters, or is empty. */
 void RpLog_Quote(GString *out, struct rp_str value);
 
-/* Parses "debug", "info", "warn" or "error". */
+/* Parses "debug", "info", "warn" or "error"; returns false for other texts. */
 bool RpLog_ParseLevel(struct rp_str text, enum rp_log_level *level);
 
 #endif
--- a/lib/common/rp_str.c
+++ b/lib/common/rp_str.c
@@ -1,3 +1,4 @@
+/* Operations on views and names. */
 #include "rp_str.h"
 
 #include <glib.h>
@@ -19,16 +20,16 @@
 struct rp_str
 RpStr_Split(struct rp_str text, char separator, struct rp_str *rest)
 {
-    const char *found = text.len ? memchr(text.data, separator, text.len)
+    const char *match = text.len ? memchr(text.data, separator, text.len)
                                  : NULL;
 
-    if (!found) {
+    if (!match) {
         *rest = (struct rp_str){.data = text.data + text.len, .len = 0};
         return text;
     }
-    size_t head = (size_t)(found - text.data);
-    *rest = (struct rp_str){.data = found + 1, .len = text.len - head - 1};
-    return (struct rp_str){.data = text.data, .len = head};
+    size_t head_len = (size_t)(match - text.data);
+    *rest = (struct rp_str){.data = match + 1, .len = text.len - head_len - 1};
+    return (struct rp_str){.data = text.data, .len = head_len};
 }
 
 static bool
@@ -53,7 +54,7 @@
 bool
 RpStr_ToUint(struct rp_str text, uint64_t max, uint64_t *value)
 {
-    uint64_t sum = 0;
+    uint64_t number = 0;
 
     if (text.len == 0) {
         return false;
@@ -63,15 +64,15 @@
             return false;
         }
         uint64_t digit = (uint64_t)(text.data[i] - '0');
-        if (sum > (UINT64_MAX - digit) / 10) {
+        if (number > (UINT64_MAX - digit) / 10) {
             return false;
         }
-        sum = sum * 10 + digit;
+        number = number * 10 + digit;
     }
-    if (sum > max) {
+    if (number > max) {
         return false;
     }
-    *value = sum;
+    *value = number;
     return true;
 }
 
--- a/tests/unit/test_common.c
+++ b/tests/unit/test_common.c
@@ -1,4 +1,5 @@
-/* Strings, addresses, findings, log lines and charts. */
+/* Tests of numbers, endpoints, labels, error findings, log lines and state
+ * charts. */
 #include <glib.h>
 #include <string.h>
 
@@ -160,8 +161,9 @@
     RpError_Clear(&error);
 }
 
-/* Every event is handled in every state of a flow, but for those that
- * cannot happen there. */
+/* The flow chart has a transition for every event in every state, except for
+ * events that cannot happen in that state. An omission would make the agent
+ * ignore the event silently. */
 static void
 test_flow_chart_is_complete(void **state)
 {
