--- a/lib/common/rp_error.h
+++ b/lib/common/rp_error.h
@@ -14,8 +14,7 @@
 
 #include "rp_str.h"
 
-/* The kind of a failure; RP_OK is success. These numbers are sent in messages.
- */
+/* The kind of a failure; RP_OK is success. The numbers travel in messages. */
 enum rp_code {
     RP_OK = 0,
     RP_ERR_SETTING,   /* a flag or an environment variable is invalid */
@@ -44,8 +43,7 @@
     GArray *findings; /* of struct rp_finding; NULL if there are none */
 };
 
-/* Evaluates `call`; if it fails, returns its code from the enclosing function.
- */
+/* Returns the code of `call` from the enclosing function if it fails. */
 #define RP_FORWARD_IF_ERROR(call)                                             \
     do {                                                                      \
         enum rp_code forwarded_code_ = (call);                                \
--- a/lib/wire/rp_codec.h
+++ b/lib/wire/rp_codec.h
@@ -9,9 +9,8 @@
 
 #include "rp_packet.h"
 
-#define RP_CODEC_SCRATCH                                                      \
-    128 /* bytes; the largest packet that a codec makes                       \
-         */
+/* Size in bytes of a buffer that holds any packet made by a codec. */
+#define RP_CODEC_SCRATCH 128
 
 struct rp_codec;
 
--- a/tests/unit/test_common.c
+++ b/tests/unit/test_common.c
@@ -15,7 +15,7 @@
     static const struct {
         const char *text;
         uint64_t max;
-        bool good;
+        bool valid;
         uint64_t value;
     } cases[] = {
         {"0", 10, true, 0},
@@ -33,7 +33,7 @@
         uint64_t value = 0;
         assert_int_equal(
             RpStr_ToUint(RpStr_FromC(cases[i].text), cases[i].max, &value),
-            cases[i].good);
+            cases[i].valid);
         assert_int_equal(value, cases[i].value);
     }
 }
@@ -43,7 +43,7 @@
 {
     static const struct {
         const char *text;
-        bool good;
+        bool valid;
     } cases[] = {
         {"10.80.0.1:7000", true},    {"255.255.255.255:65535", true},
         {"10.80.0.1", false},        {"10.80.0.1:0", false},
@@ -57,9 +57,9 @@
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
         struct rp_endpoint endpoint;
         char text[RP_ENDPOINT_TEXT_MAX];
-        bool good = RpEndpoint_Parse(RpStr_FromC(cases[i].text), &endpoint);
-        assert_int_equal(good, cases[i].good);
-        if (good) {
+        bool valid = RpEndpoint_Parse(RpStr_FromC(cases[i].text), &endpoint);
+        assert_int_equal(valid, cases[i].valid);
+        if (valid) {
             assert_string_equal(RpEndpoint_Format(endpoint, text),
                                 cases[i].text);
         }
@@ -71,7 +71,7 @@
 {
     static const struct {
         const char *text;
-        bool good;
+        bool valid;
     } cases[] = {
         {"lens-desk", true}, {"a", true},    {"9", true},
         {"-a", false},       {"a-", false},  {"", false},
@@ -81,7 +81,7 @@
     (void)state;
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
         assert_int_equal(RpName_IsLabel(RpStr_FromC(cases[i].text)),
-                         cases[i].good);
+                         cases[i].valid);
     }
 }
 
--- a/tests/unit/test_wire.c
+++ b/tests/unit/test_wire.c
@@ -376,7 +376,7 @@
 test_mutations(void **state)
 {
     struct rp_msg msg = {.type = RP_MSG_TABLE};
-    GString *good = g_string_new(NULL);
+    GString *encoded = g_string_new(NULL);
 
     (void)state;
     msg.table.services = RpSchema_NewList(&rp_msg_service_schema);
@@ -385,12 +385,13 @@
     struct rp_msg_member member = {.slots = 7};
     g_array_append_val(service.members, member);
     g_array_append_val(msg.table.services, service);
-    RpMsg_Encode(&msg, good);
+    RpMsg_Encode(&msg, encoded);
     RpMsg_Clear(&msg);
 
     for (guint32 seed = 0; seed < 20000; seed++) {
         GRand *rng = g_rand_new_with_seed(seed);
-        GString *mutated = g_string_new_len(good->str, (gssize)good->len);
+        GString *mutated = g_string_new_len(encoded->str,
+                                            (gssize)encoded->len);
         uint8_t data[512];
         struct rp_geneve geneve;
         struct rp_packet packet;
@@ -415,7 +416,7 @@
         g_string_free(mutated, TRUE);
         g_rand_free(rng);
     }
-    g_string_free(good, TRUE);
+    g_string_free(encoded, TRUE);
 }
 
 int
