--- a/lib/wire/rp_geneve.c
+++ b/lib/wire/rp_geneve.c
@@ -41,7 +41,7 @@
     chain->count = data[1];
     chain->best = data[2] & (uint8_t)~CHAIN_FORCED;
     chain->forced = data[2] & CHAIN_FORCED;
-    chain->best_share = data[3];
+    chain->lowest_utilisation = data[3];
     if (chain->best > 0 && chain->best >= chain->count) {
         return false;
     }
@@ -102,7 +102,7 @@
     out->chain.count = 0;
     out->chain.visited = 0;
     out->chain.best = 0;
-    out->chain.best_share = RP_CHAIN_NO_SHARE;
+    out->chain.lowest_utilisation = RP_CHAIN_NO_UTILISATION;
     out->chain.forced = false;
     if (len < RP_GENEVE_HEADER) {
         *reason = RP_COUNT_DROP_SHORT;
@@ -155,7 +155,7 @@
     p[0] = chain->visited;
     p[1] = chain->count;
     p[2] = chain->best | (chain->forced ? CHAIN_FORCED : 0);
-    p[3] = chain->best_share;
+    p[3] = chain->lowest_utilisation;
     p += CHAIN_HEADER_SIZE;
     for (size_t i = 0; i < chain->count; i++) {
         RpBytes_Put32(p, chain->hop[i].ip);
--- a/lib/wire/rp_geneve.h
+++ b/lib/wire/rp_geneve.h
@@ -36,7 +36,7 @@
 };
 
 /* No candidate has reported its utilisation yet. */
-#define RP_CHAIN_NO_SHARE 255
+#define RP_CHAIN_NO_UTILISATION 255
 
 /* The candidate agents of a packet, in the order in which they are asked. */
 struct rp_chain {
@@ -45,8 +45,9 @@
     /* Index in `hop` of the least busy candidate of those that passed a new
      * flow on because they were busy. */
     uint8_t best;
-    /* Utilisation of hop[best] (see rp_admission.h), or RP_CHAIN_NO_SHARE. */
-    uint8_t best_share;
+    /* Utilisation of hop[best] (see rp_admission.h), or
+     * RP_CHAIN_NO_UTILISATION. */
+    uint8_t lowest_utilisation;
     /* New flow: it was sent back to the least busy candidate, which must take
      * it. Open flow: another service behind the same virtual address passed
      * the packet on; no service passes it on a second time. */
--- a/tests/unit/test_common.c
+++ b/tests/unit/test_common.c
@@ -171,14 +171,17 @@
 
     (void)state;
     assert_int_equal(RpFlowChart_Load(&chart, NULL), RP_OK);
-    for (int from = RP_FLOW_OPENING; from < RP_FLOW_STATE_COUNT; from++) {
+    for (int from = RP_FLOW_SYN_SENT; from < RP_FLOW_STATE_COUNT; from++) {
         for (int event = 0; event < RP_FLOW_EVENT_COUNT; event++) {
-            bool impossible =
-                (event == RP_FLOW_EV_ALIEN && from != RP_FLOW_ANSWERED) ||
-                (event == RP_FLOW_EV_UNSURE && from != RP_FLOW_REDIRECT) ||
-                (event == RP_FLOW_EV_BACK && from != RP_FLOW_REDIRECT) ||
-                (event == RP_FLOW_EV_LATE &&
-                 (from == RP_FLOW_ASKING || from == RP_FLOW_PRESUMED));
+            bool impossible = (event == RP_FLOW_EV_FOREIGN_ACK &&
+                               from != RP_FLOW_SYN_ANSWERED) ||
+                              (event == RP_FLOW_EV_MAYBE_OWNED &&
+                               from != RP_FLOW_REDIRECTED) ||
+                              (event == RP_FLOW_EV_SYN_SENT_BACK &&
+                               from != RP_FLOW_REDIRECTED) ||
+                              (event == RP_FLOW_EV_LATE &&
+                               (from == RP_FLOW_QUERYING_HOST ||
+                                from == RP_FLOW_PRESUMED_OWNED));
             assert_int_equal(
                 RpChart_Step(&chart, (uint8_t)from, (uint8_t)event).listed,
                 !impossible);
--- a/tests/unit/test_wire.c
+++ b/tests/unit/test_wire.c
@@ -98,7 +98,7 @@
     const struct rp_service_tag tag = {
         .service_id = 3, .incarnation = 4, .generation = 5};
     struct rp_chain chain = {
-        .visited = 1, .best = 0, .best_share = 70, .forced = true};
+        .visited = 1, .best = 0, .lowest_utilisation = 70, .forced = true};
 
     RpChain_Append(&chain, (struct rp_endpoint){.ip = 1, .port = 2});
     RpChain_Append(&chain, (struct rp_endpoint){.ip = 3, .port = 4});
@@ -124,7 +124,7 @@
     assert_int_equal(geneve.chain.count, 2);
     assert_int_equal(geneve.chain.visited, 1);
     assert_int_equal(geneve.chain.best, 0);
-    assert_int_equal(geneve.chain.best_share, 70);
+    assert_int_equal(geneve.chain.lowest_utilisation, 70);
     assert_true(geneve.chain.forced);
     assert_int_equal(geneve.chain.hop[1].port, 4);
     assert_int_equal(geneve.inner_len, 20);
