--- a/programs/cli/cli.c
+++ b/programs/cli/cli.c
@@ -1,3 +1,5 @@
+/* Shared code of the commands: settings, requests to control instances and
+ * JSON output. */
 #include "cli.h"
 
 #include <sodium.h>
@@ -7,22 +9,23 @@
 #include "rp_keyfile.h"
 
 #define RETRY_PAUSE_MS 100
-/* A control instance that has not answered by then may be frozen: another
- * one is asked. Changes carry an id, so that asking twice does no harm. */
-#define TRY_TIMEOUT_MS 1000
+/* A control instance that does not answer within this time may be frozen, so
+ * the next one is asked. Changes carry an id, so repeating one is safe. */
+#define ATTEMPT_TIMEOUT_MS 1000
 
-/* One question to one control instance after the other. */
-struct question {
+/* A request that goes to one control instance after the other until one of
+ * them answers. */
+struct exchange {
     const struct rp_msg *request;
     enum rp_msg_type wanted;
     struct rp_msg *answer;
     GMainLoop *loop;
     bool answered;
-    bool over;
+    bool timed_out;
 };
 
 static void
-print_findings(const struct rp_error *error)
+print_errors(const struct rp_error *error)
 {
     GString *text = g_string_new(NULL);
 
@@ -41,7 +44,7 @@
     RpError_Init(&error);
     enum rp_settings_result result = RpSettings_Read(
         settings, count, program, usage, argc, argv, target, &error);
-    print_findings(&error);
+    print_errors(&error);
     RpError_Clear(&error);
     *exit_code = result == RP_SETTINGS_BAD ? RP_CLI_USAGE : RP_CLI_OK;
     return result == RP_SETTINGS_READY;
@@ -50,26 +53,27 @@
 static void
 on_ready(void *user, struct rp_conn *conn, const struct rp_msg_hello *hello)
 {
-    const struct question *question = user;
+    const struct exchange *exchange = user;
 
     (void)hello;
-    RpConn_Send(conn, question->request);
+    RpConn_Send(conn, exchange->request);
 }
 
 static void
 on_message(void *user, struct rp_conn *conn, struct rp_msg *msg)
 {
-    struct question *question = user;
-    /* Only the leader decides changes and hands out documents. */
-    bool elsewhere = (msg->type == RP_MSG_CHANGE_REPLY &&
-                      msg->change_reply.code == RP_ERR_NO_LEADER) ||
-                     (msg->type == RP_MSG_DOCUMENT &&
-                      msg->document.code == RP_ERR_NO_LEADER);
-
-    if (msg->type == question->wanted && !elsewhere && !question->answered) {
-        *question->answer = *msg;
+    struct exchange *exchange = user;
+    /* Only the leader decides changes and returns documents. The other
+     * instances answer NO_LEADER, and the next one is asked. */
+    bool not_leader = (msg->type == RP_MSG_CHANGE_REPLY &&
+                       msg->change_reply.code == RP_ERR_NO_LEADER) ||
+                      (msg->type == RP_MSG_DOCUMENT &&
+                       msg->document.code == RP_ERR_NO_LEADER);
+
+    if (msg->type == exchange->wanted && !not_leader && !exchange->answered) {
+        *exchange->answer = *msg;
         msg->type = RP_MSG_NONE;
-        question->answered = true;
+        exchange->answered = true;
     }
     RpConn_Close(conn);
 }
@@ -77,50 +81,52 @@
 static void
 on_closed(void *user, struct rp_conn *conn)
 {
-    struct question *question = user;
+    struct exchange *exchange = user;
 
     (void)conn;
-    g_main_loop_quit(question->loop);
+    g_main_loop_quit(exchange->loop);
 }
 
 static gboolean
 on_deadline(gpointer data)
 {
-    struct question *question = data;
+    struct exchange *exchange = data;
 
-    question->over = true;
+    exchange->timed_out = true;
     return G_SOURCE_CONTINUE;
 }
 
 static gboolean
-on_try_over(gpointer data)
+on_attempt_timeout(gpointer data)
 {
     RpConn_Close(data);
     return G_SOURCE_CONTINUE;
 }
 
 static gboolean
-on_pause_over(gpointer data)
+on_retry_pause_end(gpointer data)
 {
     g_main_loop_quit(data);
     return G_SOURCE_REMOVE;
 }
 
+/* Sends the request to one instance and waits for the answer, the end of the
+ * connection or ATTEMPT_TIMEOUT_MS; without an answer, pauses after that. */
 static void
-ask_one(struct question *question, const struct rp_conn_context *context,
-        struct rp_endpoint to)
+ask_instance(struct exchange *exchange, const struct rp_conn_context *context,
+             struct rp_endpoint to)
 {
     static const struct rp_conn_ops ops = {
         .ready = on_ready, .message = on_message, .closed = on_closed};
 
     struct rp_conn *conn = RpConn_Open(context, to, RP_CONN_CONNECT_US, &ops,
-                                       question);
-    guint limit = g_timeout_add(TRY_TIMEOUT_MS, on_try_over, conn);
-    g_main_loop_run(question->loop);
+                                       exchange);
+    guint limit = g_timeout_add(ATTEMPT_TIMEOUT_MS, on_attempt_timeout, conn);
+    g_main_loop_run(exchange->loop);
     g_source_remove(limit);
-    if (!question->answered && !question->over) {
-        g_timeout_add(RETRY_PAUSE_MS, on_pause_over, question->loop);
-        g_main_loop_run(question->loop);
+    if (!exchange->answered && !exchange->timed_out) {
+        g_timeout_add(RETRY_PAUSE_MS, on_retry_pause_end, exchange->loop);
+        g_main_loop_run(exchange->loop);
     }
 }
 
@@ -132,7 +138,7 @@
     RpError_Init(&error);
     enum rp_code code = RpKeyfile_Read(settings->key_file->str, keyring,
                                        &error);
-    print_findings(&error);
+    print_errors(&error);
     RpError_Clear(&error);
     return code == RP_OK && sodium_init() >= 0;
 }
@@ -143,7 +149,7 @@
 {
     struct rp_keyring keyring;
     struct rp_counters counters = {0};
-    struct question question = {
+    struct exchange exchange = {
         .request = request, .wanted = wanted, .answer = answer};
 
     if (!read_keys(settings, &keyring)) {
@@ -155,25 +161,25 @@
         .hello = {.version = RP_PROTOCOL_VERSION, .role = RP_ROLE_OPERATOR},
         .counters = &counters};
     RpName_Set(&context.hello.name, RP_STR("operator"));
-    question.loop = g_main_loop_new(NULL, FALSE);
+    exchange.loop = g_main_loop_new(NULL, FALSE);
     guint deadline = g_timeout_add_seconds(settings->timeout_seconds,
-                                           on_deadline, &question);
-    /* Start with the one that answered last. */
+                                           on_deadline, &exchange);
+    /* Start with the instance that answered the last request. */
     static size_t preferred;
-    while (!question.answered && !question.over) {
+    while (!exchange.answered && !exchange.timed_out) {
         preferred %= settings->controls.count;
-        ask_one(&question, &context, settings->controls.item[preferred]);
-        preferred += !question.answered;
+        ask_instance(&exchange, &context, settings->controls.item[preferred]);
+        preferred += !exchange.answered;
     }
     g_source_remove(deadline);
-    g_main_loop_unref(question.loop);
+    g_main_loop_unref(exchange.loop);
     RpKeyfile_Clear(&keyring);
-    if (!question.answered) {
+    if (!exchange.answered) {
         fprintf(stderr, "no control instance answered within %u s\n",
                 settings->timeout_seconds);
         *exit_code = RP_CLI_UNREACHABLE;
     }
-    return question.answered;
+    return exchange.answered;
 }
 
 void
--- a/programs/cli/cli.h
+++ b/programs/cli/cli.h
@@ -1,4 +1,5 @@
-/* What the operator's commands have in common. */
+/* Shared by the commands of radishport: exit codes, common settings, requests
+ * to control instances, JSON output, and each command's entry point. */
 #ifndef RP_CLI_H
 #define RP_CLI_H
 
@@ -9,12 +10,12 @@
 
 /* Exit codes of radishport. */
 #define RP_CLI_OK 0
-#define RP_CLI_REFUSED 1     /* the system said no, or nothing was found */
-#define RP_CLI_USAGE 2       /* bad flags, settings or files */
-#define RP_CLI_UNKNOWN 3     /* no answer: try again with the same id */
+#define RP_CLI_REFUSED 1     /* the request was refused, or found nothing */
+#define RP_CLI_USAGE 2       /* invalid flags, settings or files */
+#define RP_CLI_UNKNOWN 3     /* no answer to a change: repeat with its id */
 #define RP_CLI_UNREACHABLE 4 /* no control instance answered */
 
-/* Settings that every command has. */
+/* Settings of every command that talks to control instances. */
 struct rp_cli_settings {
     struct rp_endpoints controls;
     GString *key_file;
@@ -22,24 +23,24 @@
     bool json;
 };
 
-/* Rows for a settings table whose target has `member` of the struct above
- * as its common settings. */
+/* Settings table entries for the common settings. The table fills a
+ * `struct type`, whose `member` is a struct rp_cli_settings. */
 #define RP_CLI_SETTINGS(type, member)                                         \
     {.flag = "control",                                                       \
      .kind = RP_SETTING_ENDPOINTS,                                            \
      .offset = offsetof(struct type, member.controls),                        \
      .value = "ADDR:PORT,…",                                                  \
-     .help = "the control instances"},                                        \
+     .help = "addresses of the control instances"},                           \
         {.flag = "key-file",                                                  \
          .kind = RP_SETTING_TEXT,                                             \
          .offset = offsetof(struct type, member.key_file),                    \
          .value = "FILE",                                                     \
-         .help = "shared keys of the system"},                                \
+         .help = "file with the system's shared keys"},                       \
         {.flag = "timeout-seconds",                                           \
          .kind = RP_SETTING_UINT,                                             \
          .offset = offsetof(struct type, member.timeout_seconds),             \
          .value = "N",                                                        \
-         .help = "give up asking after this long",                            \
+         .help = "give up on a request after N seconds",                      \
          .fallback = "10",                                                    \
          .max = 3600},                                                        \
     {                                                                         \
@@ -48,41 +49,48 @@
         .help = "print JSON instead of a table"                               \
     }
 
-/* Reads a command's settings; true if it can go on. */
+/* Reads a command's settings into `target` and prints errors to stderr.
+ * Returns false if the command must end with `*exit_code`: a setting is
+ * invalid, or the help text was asked for and printed. */
 bool RpCli_ReadSettings(const struct rp_setting *settings, size_t count,
                         const char *program, const char *usage, int argc,
                         char **argv, void *target, int *exit_code);
 
-/* Sends a request to one control instance after the other until one gives
- * an answer of the wanted type or the time is over. The answer must be
- * cleared. `*exit_code` is set on failure. */
+/* Sends a request to one control instance after the other, until one answers
+ * with a message of type `wanted` or settings->timeout_seconds have passed.
+ * On success returns true, and the caller clears `*answer` with RpMsg_Clear.
+ * On failure prints the reason to stderr and sets `*exit_code`. */
 bool RpCli_Ask(const struct rp_cli_settings *settings,
                const struct rp_msg *request, enum rp_msg_type wanted,
                struct rp_msg *answer, int *exit_code);
 
-/* Asks every control instance for its status and puts the answers together:
- * each knows the nodes that are connected to it. `only` may be empty. The
- * answer must be cleared. */
+/* Asks every control instance for its status and merges the answers, because
+ * each instance knows only the nodes that are connected to it. `only` limits
+ * the status to one service; NULL means all services. Returns true if at
+ * least one instance answered; the caller then clears `*answer` with
+ * RpMsg_Clear. Sets `*exit_code` if no instance answered. */
 bool RpCli_AskStatus(const struct rp_cli_settings *settings,
                      const struct rp_name *only, struct rp_msg *answer,
                      int *exit_code);
 
-/* How many nodes are connected, and how many of them run less than
- * `revision`. */
+/* Returns the number of connected nodes, and sets `*behind` to how many of
+ * them run a revision older than `revision`. */
 size_t RpCli_CountNodes(const struct rp_msg_status *status, uint64_t revision,
                         size_t *behind);
 
-/* Prints a JSON tree built with `builder` and frees the builder. */
+/* Prints the JSON tree of `builder` to stdout and frees the builder. */
 void RpCli_PrintJson(JsonBuilder *builder);
 
-/* Adds "name": value to a JSON object. */
+/* Add the member `name` to the JSON object that is open in `builder`. */
 void RpCli_AddText(JsonBuilder *builder, const char *name, const char *text);
 void RpCli_AddNumber(JsonBuilder *builder, const char *name, uint64_t number);
 
-/* Whether standard output is a terminal that may be coloured. */
+/* Returns whether output may have colours: standard output is a terminal, and
+ * NO_COLOR is not set. */
 bool RpCli_MayColour(void);
 
-/* The commands; each returns the exit code. */
+/* The commands. argv[0] is the last word of the command's name, the arguments
+ * follow. Each returns the exit code. */
 int RpCli_ServiceApply(int argc, char **argv);
 int RpCli_ServiceDelete(int argc, char **argv);
 int RpCli_ServiceList(int argc, char **argv);
--- a/programs/cli/explain.c
+++ b/programs/cli/explain.c
@@ -1,13 +1,18 @@
-/* Tells the story of one request from the log lines of all processes. */
+/* radishport explain: finds the log lines of one request in the logs of all
+ * processes, prints them in time order, and names the events that a complete
+ * request has and this one lacks. */
+#include <errno.h>
 #include <string.h>
 
 #include "cli.h"
 
-/* Lines kept at most: those that name a flow, of a few minutes. */
+/* Lines kept at most. Only lines with a flow and background events are kept,
+ * so this is enough for the logs of a few minutes. */
 #define MAX_LINES 5000000
-/* How far around a story its background is told. Lines that were left out
- * are told of up to three seconds later. */
-#define AROUND_MS 3000
+/* Background events are printed if they lie at most this far before or after
+ * the request's lines. The event lines_left_out reports suppressed lines up
+ * to three seconds after them. */
+#define CONTEXT_MS 3000
 
 struct explain_settings {
     GString *query;
@@ -18,29 +23,30 @@
     {.kind = RP_SETTING_TEXT,
      .offset = offsetof(struct explain_settings, query),
      .value = "FLOW|ID",
-     .help = "caller>address, the caller alone, or a request's id"},
+     .help = "flow (caller>address), caller, or request id"},
     {.kind = RP_SETTING_TEXT,
      .offset = offsetof(struct explain_settings, file),
      .value = "FILE",
-     .help = "log lines; standard input if there is none",
+     .help = "file with log lines (default: standard input)",
      .optional = true},
 };
 
-/* One log line; the texts point into it. */
+/* One log line. The fields point into `text`, which the line owns. */
 struct line {
     char *text;
     struct rp_str time;
-    int64_t at_ms; /* of the day */
+    int64_t at_ms; /* milliseconds since midnight, UTC */
     struct rp_str role;
     struct rp_str name;
     struct rp_str event;
     struct rp_str flow;
     struct rp_str id;
-    struct rp_str rest; /* what comes after the event */
+    struct rp_str rest; /* the line after its event */
 };
 
-/* What a request's lines showed; what is not here is told as missing. */
-struct seen {
+/* Which stages of a request its log lines show. print_missing reports the
+ * other ones. */
+struct stages {
     bool routed;
     bool admitted;
     bool refused;
@@ -49,9 +55,10 @@
     bool answer;
 };
 
-/* The value of key=value in a line; empty if it is not there. */
+/* Returns the text after `key`, which ends in "=", up to the next space; empty
+ * if the line does not have the key. */
 static struct rp_str
-value_of(const char *text, const char *key)
+find_value(const char *text, const char *key)
 {
     const char *found = strstr(text, key);
 
@@ -62,8 +69,8 @@
     return (struct rp_str){.data = found, .len = strcspn(found, " \n")};
 }
 
-/* Events that change what a process believes, or that tell of lines that are
- * not there: what stands beside a story. */
+/* Returns whether an event is printed beside a request although it names no
+ * flow: it changes the state of a process, or reports suppressed lines. */
 static bool
 is_background(struct rp_str event)
 {
@@ -81,10 +88,10 @@
     return false;
 }
 
-/* Milliseconds of the day of a time like 2026-01-06T03:17:32.282Z; 0 if it
- * reads otherwise. */
+/* Returns the milliseconds since midnight of a time such as
+ * 2026-01-06T03:17:32.282Z; 0 if `time` has another format. */
 static int64_t
-ms_of(struct rp_str time)
+parse_time_ms(struct rp_str time)
 {
     unsigned hours;
     unsigned minutes;
@@ -98,7 +105,8 @@
     return ((hours * 60 + minutes) * 60 + seconds) * INT64_C(1000) + ms;
 }
 
-/* Reads a line; something may stand before its time. */
+/* Parses a log line; text before "time=" is ignored. Returns whether the line
+ * is kept: it names a flow or is a background event. */
 static bool
 parse_line(char *text, struct line *line)
 {
@@ -108,18 +116,18 @@
         return false;
     }
     *line = (struct line){.text = text,
-                          .time = value_of(start, "time="),
-                          .role = value_of(start, " role="),
-                          .name = value_of(start, " name="),
-                          .event = value_of(start, " event="),
-                          .flow = value_of(start, " flow="),
-                          .id = value_of(start, " id=")};
+                          .time = find_value(start, "time="),
+                          .role = find_value(start, " role="),
+                          .name = find_value(start, " name="),
+                          .event = find_value(start, " event="),
+                          .flow = find_value(start, " flow="),
+                          .id = find_value(start, " id=")};
     if (line->event.len == 0) {
         return false;
     }
     const char *after = line->event.data + line->event.len;
     line->rest = RpStr_Trim(RpStr_FromC(after));
-    line->at_ms = ms_of(line->time);
+    line->at_ms = parse_time_ms(line->time);
     return line->flow.len > 0 || is_background(line->event);
 }
 
@@ -144,15 +152,15 @@
 {
     GArray *lines = g_array_new(FALSE, FALSE, sizeof(struct line));
     char *text = NULL;
-    size_t room = 0;
+    size_t capacity = 0;
 
     g_array_set_clear_func(lines, free_line);
-    while (lines->len < MAX_LINES && getline(&text, &room, in) >= 0) {
+    while (lines->len < MAX_LINES && getline(&text, &capacity, in) >= 0) {
         struct line line;
         if (parse_line(text, &line)) {
             g_array_append_val(lines, line);
             text = NULL;
-            room = 0;
+            capacity = 0;
         }
     }
     free(text);
@@ -161,20 +169,21 @@
 }
 
 static bool
-starts_with_caller(struct rp_str flow, struct rp_str caller)
+is_from_caller(struct rp_str flow, struct rp_str caller)
 {
     return flow.len > caller.len && flow.data[caller.len] == '>' &&
            !memcmp(flow.data, caller.data, caller.len);
 }
 
-/* The flow that a query names, by itself or through a request's id. */
+/* Returns the flow of the first line that matches the query, which is a flow,
+ * a caller or a request id; empty if no line does. */
 static struct rp_str
 find_flow(const GArray *lines, struct rp_str query)
 {
     for (guint i = 0; i < lines->len; i++) {
         const struct line *line = &g_array_index(lines, struct line, i);
         if (RpStr_Equal(line->flow, query) || RpStr_Equal(line->id, query) ||
-            starts_with_caller(line->flow, query)) {
+            is_from_caller(line->flow, query)) {
             return line->flow;
         }
     }
@@ -182,15 +191,15 @@
 }
 
 static void
-note(struct seen *seen, struct rp_str event)
+record_stage(struct stages *stages, struct rp_str event)
 {
-    seen->routed |= RpStr_Equal(event, RP_STR("flow_routed"));
-    seen->admitted |= RpStr_Equal(event, RP_STR("flow_admitted"));
-    seen->refused |= RpStr_Equal(event, RP_STR("flow_refused")) ||
-                     RpStr_Equal(event, RP_STR("flow_unrouted"));
-    seen->reset |= RpStr_Equal(event, RP_STR("flow_reset"));
-    seen->request |= RpStr_Equal(event, RP_STR("request_received"));
-    seen->answer |= RpStr_Equal(event, RP_STR("answer_began"));
+    stages->routed |= RpStr_Equal(event, RP_STR("flow_routed"));
+    stages->admitted |= RpStr_Equal(event, RP_STR("flow_admitted"));
+    stages->refused |= RpStr_Equal(event, RP_STR("flow_refused")) ||
+                       RpStr_Equal(event, RP_STR("flow_unrouted"));
+    stages->reset |= RpStr_Equal(event, RP_STR("flow_reset"));
+    stages->request |= RpStr_Equal(event, RP_STR("request_received"));
+    stages->answer |= RpStr_Equal(event, RP_STR("answer_began"));
 }
 
 static void
@@ -202,30 +211,31 @@
            line->event.data, (int)line->rest.len, line->rest.data);
 }
 
-/* Says what a whole story would have and this one has not. */
+/* Prints which events a complete request has and this one lacks, with the
+ * likely causes. */
 static void
-print_missing(const struct seen *seen)
+print_missing(const struct stages *stages)
 {
-    if (!seen->routed && !seen->refused) {
-        printf("missing: no balancer says that it routed the flow\n");
+    if (!stages->routed && !stages->refused) {
+        printf("missing: no balancer logged that it routed the flow\n");
     }
-    if (seen->routed && !seen->admitted && !seen->refused) {
-        printf("missing: no agent says that it took or refused the flow; the "
-               "one that it was sent to may be gone\n");
+    if (stages->routed && !stages->admitted && !stages->refused) {
+        printf("missing: no agent logged that it admitted or refused the "
+               "flow; the agent that it was routed to may have failed\n");
     }
-    if (seen->admitted && !seen->request && !seen->reset) {
-        printf("missing: no request came; the host or the caller did not "
+    if (stages->admitted && !stages->request && !stages->reset) {
+        printf("missing: no request arrived; the host or the caller did not "
                "finish opening the flow\n");
     }
-    if (seen->request && !seen->answer && !seen->reset) {
-        printf("missing: the host's answer; it, its agent or the instance may "
-               "have failed meanwhile\n");
+    if (stages->request && !stages->answer && !stages->reset) {
+        printf("missing: the host's answer; the host, its agent or its "
+               "instance may have failed before it answered\n");
     }
 }
 
-/* Whether an instance of this name appears in the flow's story. */
+/* Returns whether the instance `name` logged a line about the flow. */
 static bool
-takes_part(const GArray *lines, struct rp_str flow, struct rp_str name)
+is_involved(const GArray *lines, struct rp_str flow, struct rp_str name)
 {
     for (guint i = 0; i < lines->len; i++) {
         const struct line *line = &g_array_index(lines, struct line, i);
@@ -236,33 +246,36 @@
     return false;
 }
 
-/* What the instances of the story came to believe around it, and which of
- * their lines were left out. */
+/* Prints the background events of the flow's instances from CONTEXT_MS before
+ * its first line to CONTEXT_MS after its last one. */
 static void
 print_background(const GArray *lines, struct rp_str flow, int64_t from,
                  int64_t until)
 {
     for (guint i = 0; i < lines->len; i++) {
         const struct line *line = &g_array_index(lines, struct line, i);
-        if (line->flow.len == 0 && line->at_ms >= from - AROUND_MS &&
-            line->at_ms <= until + AROUND_MS &&
-            takes_part(lines, flow, line->name)) {
+        if (line->flow.len == 0 && line->at_ms >= from - CONTEXT_MS &&
+            line->at_ms <= until + CONTEXT_MS &&
+            is_involved(lines, flow, line->name)) {
             printf("beside: ");
             print_line(line);
         }
     }
 }
 
+/* Prints everything known about the request that the query names. Returns the
+ * exit code. */
 static int
-tell(const GArray *lines, struct rp_str query)
+explain_request(const GArray *lines, struct rp_str query)
 {
     struct rp_str flow = find_flow(lines, query);
-    struct seen seen = {0};
+    struct stages stages = {0};
     int64_t from = -1;
     int64_t until = 0;
 
     if (flow.len == 0) {
-        printf("no line names %.*s\n", (int)query.len, query.data);
+        printf("no log line has the flow, caller or id %.*s\n", (int)query.len,
+               query.data);
         return RP_CLI_REFUSED;
     }
     printf("flow %.*s\n", (int)flow.len, flow.data);
@@ -272,11 +285,11 @@
             continue;
         }
         print_line(line);
-        note(&seen, line->event);
+        record_stage(&stages, line->event);
         from = from < 0 ? line->at_ms : from;
         until = line->at_ms;
     }
-    print_missing(&seen);
+    print_missing(&stages);
     print_background(lines, flow, from, until);
     return RP_CLI_OK;
 }
@@ -289,9 +302,9 @@
 
     if (!RpCli_ReadSettings(settings_table, G_N_ELEMENTS(settings_table),
                             "radishport explain",
-                            "Reads log lines of all processes and tells what "
-                            "happened to one request, in order, and what is "
-                            "missing.",
+                            "Reads the log lines of all processes and prints "
+                            "what happened to one request, in time order, and "
+                            "which events are missing.",
                             argc, argv, &settings, &exit_code)) {
         return exit_code;
     }
@@ -299,13 +312,15 @@
     if (settings.file) {
         in = fopen(settings.file->str, "r");
         if (!in) {
-            fprintf(stderr, "%s: cannot be read\n", settings.file->str);
+            fprintf(stderr, "%s: cannot open: %s\n", settings.file->str,
+                    strerror(errno));
             return RP_CLI_USAGE;
         }
     }
     GArray *lines = read_lines(in);
-    exit_code = tell(lines, (struct rp_str){.data = settings.query->str,
-                                            .len = settings.query->len});
+    exit_code = explain_request(lines,
+                                (struct rp_str){.data = settings.query->str,
+                                                .len = settings.query->len});
     g_array_free(lines, TRUE);
     if (in != stdin) {
         fclose(in);
--- a/programs/cli/main.c
+++ b/programs/cli/main.c
@@ -5,26 +5,26 @@
 #include "cli.h"
 
 struct command {
-    const char *group; /* NULL: the command is one word */
+    const char *group; /* first word; NULL if the command has only one */
     const char *name;
     int (*run)(int argc, char **argv);
     const char *help;
 };
 
 static const struct command commands[] = {
-    {"service", "apply", RpCli_ServiceApply,
-     "put a service document in force"},
+    {"service", "apply", RpCli_ServiceApply, "apply a service document"},
     {"service", "list", RpCli_ServiceList, "list the services"},
     {"service", "get", RpCli_ServiceGet, "print a service's document"},
     {"service", "status", RpCli_ServiceStatus,
      "show a service's upstreams and where its document is in force"},
     {"service", "delete", RpCli_ServiceDelete, "remove a service"},
     {"upstream", "drain", RpCli_UpstreamDrain,
-     "let an upstream finish its flows and take no new ones"},
-    {"upstream", "resume", RpCli_UpstreamResume, "let it take new ones again"},
-    {NULL, "status", RpCli_Status, "one look at the whole system"},
+     "stop new flows to an upstream and keep its open ones"},
+    {"upstream", "resume", RpCli_UpstreamResume,
+     "allow new flows to a drained upstream"},
+    {NULL, "status", RpCli_Status, "show the state of the whole system"},
     {NULL, "explain", RpCli_Explain,
-     "tell from log lines what happened to one request"},
+     "show from log lines what happened to one request"},
 };
 
 static void
@@ -40,13 +40,16 @@
         g_free(words);
     }
     fprintf(out,
-            "\nradishport COMMAND --help lists the command's flags. Set\n"
-            "RADISHPORT_CONTROL and RADISHPORT_KEY_FILE to leave them out.\n"
-            "\nExit codes: 0 done, 1 refused or not found, 2 bad usage,\n"
+            "\nradishport COMMAND --help lists the command's flags.\n"
+            "RADISHPORT_CONTROL and RADISHPORT_KEY_FILE set --control and\n"
+            "--key-file.\n"
+            "\nExit codes: 0 done, 1 refused or not found, 2 invalid usage,\n"
             "3 no answer to a change (repeat it with the same --id),\n"
             "4 no control instance answered.\n");
 }
 
+/* Returns the command that the arguments name, or NULL, and sets `*words` to
+ * the number of words in its name. */
 static const struct command *
 find_command(int argc, char **argv, int *words)
 {
--- a/programs/cli/service_change.c
+++ b/programs/cli/service_change.c
@@ -1,5 +1,5 @@
-/* radishport service apply, service delete: changes that are sent again
- * under the same id until the system has answered. */
+/* radishport service apply and service delete: send a change, and repeat it
+ * under the same id until a control instance answers. */
 #include <sodium.h>
 #include <string.h>
 
@@ -11,7 +11,7 @@
 
 struct change_settings {
     struct rp_cli_settings cli;
-    GString *argument; /* file to apply, or service to delete */
+    GString *argument; /* path of the document, or the service to delete */
     GString *id;
     GString *base;
     uint32_t wait_seconds;
@@ -27,20 +27,20 @@
          .kind = RP_SETTING_TEXT,                                             \
          .offset = offsetof(struct change_settings, id),                      \
          .value = "HEX",                                                      \
-         .help = "the change id of an earlier try (32 hex digits)",           \
+         .help = "change id of an earlier attempt (32 hex digits)",           \
          .optional = true},                                                   \
         {.flag = "base",                                                      \
          .kind = RP_SETTING_TEXT,                                             \
          .offset = offsetof(struct change_settings, base),                    \
          .value = "REVISION",                                                 \
-         .help = "refuse unless this revision is current (0: a new service; " \
-                 "default: the current one when the command starts)",         \
+         .help = "refuse the change unless this revision is current (0: a "   \
+                 "new service; default: the current one at the start)",       \
          .optional = true},                                                   \
     {                                                                         \
         .flag = "wait-seconds", .kind = RP_SETTING_UINT,                      \
         .offset = offsetof(struct change_settings, wait_seconds),             \
         .value = "N",                                                         \
-        .help = "wait this long until it is in force everywhere",             \
+        .help = "wait up to N seconds for all nodes to run the change",       \
         .fallback = "7", .max = MAX_WAIT_SECONDS                              \
     }
 
@@ -65,14 +65,15 @@
         sodium_hex2bin(change->id, sizeof change->id, settings->id->str,
                        settings->id->len, NULL, &len, NULL) ||
         len != sizeof change->id) {
-        fprintf(stderr, "--id: must be %d hex digits\n", ID_TEXT_LEN);
+        fprintf(stderr, "--id: \"%s\" is not %d hex digits\n",
+                settings->id->str, ID_TEXT_LEN);
         return false;
     }
     return true;
 }
 
-/* The service's current revision, 0 if there is none; false if nobody
- * answered. */
+/* Sets `*revision` to the service's current revision, 0 if there is no such
+ * service. Returns false and sets `*exit_code` if no instance answers. */
 static bool
 fetch_revision(const struct rp_cli_settings *settings,
                const struct rp_name *service, uint64_t *revision,
@@ -99,14 +100,16 @@
     if (settings->base) {
         if (!RpStr_ToUint(RpStr_FromC(settings->base->str), UINT64_MAX,
                           &change->base)) {
-            fprintf(stderr, "--base: must be a number\n");
+            fprintf(stderr, "--base: \"%s\" is not a number\n",
+                    settings->base->str);
             *exit_code = RP_CLI_USAGE;
             return false;
         }
         return true;
     }
     if (settings->id) {
-        /* A repeated change is answered by its id, whatever its base. */
+        /* Control recognises a repeated change by its id and answers as
+         * before; the base does not matter. */
         change->has_base = 0;
         return true;
     }
@@ -152,7 +155,7 @@
     if (reply->code == RP_OK) {
         printf("%s: applied at revision %" G_GUINT64_FORMAT "%s\n",
                reply->service.data, reply->revision,
-               reply->repeated ? " (answered before)" : "");
+               reply->repeated ? " (by an earlier attempt)" : "");
     }
     else if (reply->code == RP_ERR_CONFLICT) {
         printf("%s: refused: the current revision is %" G_GUINT64_FORMAT "\n",
@@ -164,9 +167,10 @@
     }
 }
 
-/* Waits until all nodes run the revision, and says how far it got. */
+/* Waits until all connected nodes run the revision or --wait-seconds have
+ * passed, and prints how many nodes run it. */
 static void
-wait_in_force(const struct change_settings *settings, uint64_t revision)
+wait_until_in_force(const struct change_settings *settings, uint64_t revision)
 {
     int64_t deadline = g_get_monotonic_time() +
                        settings->wait_seconds * RP_US_PER_SECOND;
@@ -199,8 +203,10 @@
     sodium_bin2hex(id, sizeof id, request->change.id, RP_CHANGE_ID_SIZE);
     if (!RpCli_Ask(&settings->cli, request, RP_MSG_CHANGE_REPLY, &answer,
                    &exit_code)) {
-        fprintf(stderr,
-                "unknown whether it was applied: repeat with --id %s\n", id);
+        fprintf(
+            stderr,
+            "unknown whether the change was applied: repeat with --id %s\n",
+            id);
         return exit_code == RP_CLI_USAGE ? exit_code : RP_CLI_UNKNOWN;
     }
     bool applied = answer.change_reply.code == RP_OK;
@@ -211,16 +217,17 @@
         print_reply(&answer.change_reply, settings->argument->str);
     }
     if (applied && settings->wait_seconds) {
-        wait_in_force(settings, answer.change_reply.revision);
+        wait_until_in_force(settings, answer.change_reply.revision);
     }
     RpMsg_Clear(&answer);
     return applied ? RP_CLI_OK : RP_CLI_REFUSED;
 }
 
-/* Takes the service's name out of a document, for its current revision. A
- * document without one is sent as it is: the answer says what is wrong. */
+/* Finds the service's name in a document, to ask for its current revision. A
+ * document without a name is sent unchanged: control's answer names the
+ * error. */
 static void
-guess_name(const GString *text, struct rp_name *name)
+find_service_name(const GString *text, struct rp_name *name)
 {
     struct rp_str rest = {.data = text->str, .len = text->len};
 
@@ -249,7 +256,7 @@
 
     if (!RpCli_ReadSettings(apply_table, G_N_ELEMENTS(apply_table),
                             "radishport service apply",
-                            "Puts a service document in force.", argc, argv,
+                            "Applies a service document.", argc, argv,
                             &settings, &exit_code)) {
         return exit_code;
     }
@@ -261,7 +268,7 @@
     }
     request.change.document = g_string_new_len(content, (gssize)len);
     g_free(content);
-    guess_name(request.change.document, &request.change.service);
+    find_service_name(request.change.document, &request.change.service);
     exit_code = RP_CLI_USAGE;
     if (fill_id(&settings, &request.change) &&
         fill_base(&settings, &request.change, &exit_code)) {
@@ -286,7 +293,7 @@
     }
     if (!RpName_Set(&request.change.service,
                     RpStr_FromC(settings.argument->str))) {
-        fprintf(stderr, "NAME: too long\n");
+        fprintf(stderr, "NAME: longer than %d bytes\n", RP_NAME_MAX);
         return RP_CLI_USAGE;
     }
     request.change.document = g_string_new(NULL);
--- a/programs/cli/show.c
+++ b/programs/cli/show.c
@@ -1,4 +1,5 @@
-/* radishport status and the service commands that only read. */
+/* radishport status, and service list, service get and service status: the
+ * commands that only read. */
 #include "cli.h"
 
 struct show_settings {
@@ -6,7 +7,7 @@
     GString *service;
 };
 
-static const struct rp_setting plain_table[] = {
+static const struct rp_setting common_table[] = {
     RP_CLI_SETTINGS(show_settings, cli),
 };
 
@@ -20,13 +21,13 @@
 
 #define BOLD "\033[1m"
 #define RED "\033[31m"
-#define PLAIN "\033[0m"
+#define RESET_STYLE "\033[0m"
 
 static void
 print_heading(const char *text)
 {
     if (RpCli_MayColour()) {
-        printf(BOLD "%s" PLAIN "\n", text);
+        printf(BOLD "%s" RESET_STYLE "\n", text);
     }
     else {
         printf("%s\n", text);
@@ -90,7 +91,7 @@
     struct rp_msg answer;
     int exit_code;
 
-    if (!RpCli_ReadSettings(plain_table, G_N_ELEMENTS(plain_table),
+    if (!RpCli_ReadSettings(common_table, G_N_ELEMENTS(common_table),
                             "radishport service list", "Lists the services.",
                             argc, argv, &settings, &exit_code)) {
         return exit_code;
@@ -114,10 +115,12 @@
     return RP_CLI_OK;
 }
 
-/* Reads the settings of a command on one service and prepares its query. */
+/* Reads the settings of a command on one service and fills in the type and
+ * the service of its query. Returns false and sets `*exit_code` on errors. */
 static bool
-prepare(int argc, char **argv, const char *program, const char *usage,
-        struct show_settings *settings, struct rp_msg *request, int *exit_code)
+prepare_service_query(int argc, char **argv, const char *program,
+                      const char *usage, struct show_settings *settings,
+                      struct rp_msg *request, int *exit_code)
 {
     if (!RpCli_ReadSettings(service_table, G_N_ELEMENTS(service_table),
                             program, usage, argc, argv, settings, exit_code)) {
@@ -126,7 +129,7 @@
     request->type = RP_MSG_QUERY;
     if (!RpName_Set(&request->query.service,
                     RpStr_FromC(settings->service->str))) {
-        fprintf(stderr, "NAME: too long\n");
+        fprintf(stderr, "NAME: longer than %d bytes\n", RP_NAME_MAX);
         *exit_code = RP_CLI_USAGE;
         return false;
     }
@@ -141,9 +144,10 @@
     struct rp_msg answer;
     int exit_code;
 
-    if (!prepare(argc, argv, "radishport service get",
-                 "Prints a service's document as it was accepted.", &settings,
-                 &request, &exit_code) ||
+    if (!prepare_service_query(
+            argc, argv, "radishport service get",
+            "Prints a service's document as it was accepted.", &settings,
+            &request, &exit_code) ||
         !RpCli_Ask(&settings.cli, &request, RP_MSG_DOCUMENT, &answer,
                    &exit_code)) {
         return exit_code;
@@ -231,6 +235,7 @@
     json_builder_end_array(builder);
 }
 
+/* Returns the oldest revision that a connected node runs. */
 static uint64_t
 lowest_confirmed(const struct rp_msg_status *status)
 {
@@ -262,6 +267,8 @@
     RpCli_PrintJson(builder);
 }
 
+/* Prints the nodes that are disconnected or run an old revision, and how many
+ * run the current one. */
 static void
 print_nodes_behind(const struct rp_msg_status *status)
 {
@@ -297,12 +304,13 @@
     for (guint i = 0; i < rows->len; i++) {
         const struct rp_msg_upstream_info *row = &g_array_index(
             rows, struct rp_msg_upstream_info, i);
-        bool ill = row->state == RP_UPSTREAM_LOST;
+        bool is_lost = row->state == RP_UPSTREAM_LOST;
         printf("%s%-18s %-18s %-10s %-9s %5u %6u %6u%s\n",
-               ill && colour ? RED : "", row->upstream.data, row->service.data,
-               row->zone.data,
+               is_lost && colour ? RED : "", row->upstream.data,
+               row->service.data, row->zone.data,
                RpUpstreamState_Name((enum rp_upstream_state)row->state),
-               row->slots, row->flows, row->busy, ill && colour ? PLAIN : "");
+               row->slots, row->flows, row->busy,
+               is_lost && colour ? RESET_STYLE : "");
     }
 }
 
@@ -337,10 +345,11 @@
     struct rp_msg answer;
     int exit_code;
 
-    if (!prepare(argc, argv, "radishport service status",
-                 "Shows a service's upstreams, the lowest revision in force "
-                 "and who is behind.",
-                 &settings, &request, &exit_code) ||
+    if (!prepare_service_query(
+            argc, argv, "radishport service status",
+            "Shows a service's upstreams, the current revision and the "
+            "nodes that run an older one.",
+            &settings, &request, &exit_code) ||
         !RpCli_AskStatus(&settings.cli, &request.query.service, &answer,
                          &exit_code)) {
         return exit_code;
@@ -367,10 +376,10 @@
     struct rp_msg answer;
     int exit_code;
 
-    if (!RpCli_ReadSettings(plain_table, G_N_ELEMENTS(plain_table),
-                            "radishport status",
-                            "One look at the whole system.", argc, argv,
-                            &settings, &exit_code) ||
+    if (!RpCli_ReadSettings(
+            common_table, G_N_ELEMENTS(common_table), "radishport status",
+            "Shows the replicas, nodes, services and upstreams.", argc, argv,
+            &settings, &exit_code) ||
         !RpCli_AskStatus(&settings.cli, NULL, &answer, &exit_code)) {
         return exit_code;
     }
--- a/programs/cli/status_merge.c
+++ b/programs/cli/status_merge.c
@@ -1,7 +1,7 @@
-/* One status out of the answers of all control instances. */
+/* Merges the status answers of all control instances into one. */
 #include "cli.h"
 
-#define EACH_TIMEOUT_SECONDS 1
+#define INSTANCE_TIMEOUT_SECONDS 1
 
 static struct rp_msg_node_info *
 find_node(GArray *nodes, const struct rp_name *name)
@@ -16,22 +16,22 @@
     return NULL;
 }
 
-/* A node may be known to several instances: the one it is connected to
- * knows best, then the one that has seen it run the most. */
+/* Several instances may know a node. The entry of the instance that the node
+ * is connected to wins, then the one with the highest confirmed revision. */
 static void
 merge_nodes(GArray *into, const GArray *from)
 {
     for (guint i = 0; i < from->len; i++) {
-        const struct rp_msg_node_info *news = &g_array_index(
+        const struct rp_msg_node_info *update = &g_array_index(
             from, struct rp_msg_node_info, i);
-        struct rp_msg_node_info *known = find_node(into, &news->name);
+        struct rp_msg_node_info *known = find_node(into, &update->name);
         if (!known) {
-            g_array_append_val(into, *news);
+            g_array_append_val(into, *update);
         }
-        else if (news->connected > known->connected ||
-                 (news->connected == known->connected &&
-                  news->confirmed > known->confirmed)) {
-            *known = *news;
+        else if (update->connected > known->connected ||
+                 (update->connected == known->connected &&
+                  update->confirmed > known->confirmed)) {
+            *known = *update;
         }
     }
 }
@@ -45,8 +45,8 @@
     *b = kept;
 }
 
-/* Takes one more answer in; services and upstreams are those of the
- * instance with the highest revision. */
+/* Merges the answer `from` into `into`. Services and upstreams come from the
+ * answer with the highest revision. */
 static void
 merge_status(struct rp_msg_status *into, struct rp_msg_status *from)
 {
@@ -67,24 +67,25 @@
 {
     struct rp_msg request = {.type = RP_MSG_QUERY,
                              .query = {.kind = RP_QUERY_STATUS}};
-    static bool silent[RP_ENDPOINTS_MAX]; /* did not answer before */
+    /* Instances that did not answer an earlier call are not asked again. */
+    static bool unresponsive[RP_ENDPOINTS_MAX];
     bool answered = false;
 
     if (only) {
         request.query.service = *only;
     }
     for (size_t i = 0; i < settings->controls.count; i++) {
-        struct rp_cli_settings one = *settings;
+        struct rp_cli_settings single = *settings;
         struct rp_msg part;
-        if (silent[i]) {
+        if (unresponsive[i]) {
             continue;
         }
-        one.controls.count = 1;
-        one.controls.item[0] = settings->controls.item[i];
-        one.timeout_seconds = MIN(settings->timeout_seconds,
-                                  EACH_TIMEOUT_SECONDS);
-        if (!RpCli_Ask(&one, &request, RP_MSG_STATUS, &part, exit_code)) {
-            silent[i] = true;
+        single.controls.count = 1;
+        single.controls.item[0] = settings->controls.item[i];
+        single.timeout_seconds = MIN(settings->timeout_seconds,
+                                     INSTANCE_TIMEOUT_SECONDS);
+        if (!RpCli_Ask(&single, &request, RP_MSG_STATUS, &part, exit_code)) {
+            unresponsive[i] = true;
             continue;
         }
         if (!answered) {
--- a/programs/cli/upstream.c
+++ b/programs/cli/upstream.c
@@ -1,4 +1,5 @@
-/* radishport upstream drain, upstream resume. */
+/* radishport upstream drain and upstream resume: send an order to the agent of
+ * an upstream through a control instance. */
 #include "cli.h"
 
 #define POLL_US 200000
@@ -15,19 +16,20 @@
     {.kind = RP_SETTING_TEXT,
      .offset = offsetof(struct upstream_settings, upstream),
      .value = "NAME",
-     .help = "the upstream, as radishport status names it"},
+     .help = "the upstream's name in radishport status"},
     {.flag = "wait-seconds",
      .kind = RP_SETTING_UINT,
      .offset = offsetof(struct upstream_settings, wait_seconds),
      .value = "N",
-     .help = "when draining, wait this long for its open flows to end",
+     .help = "when draining, wait up to N seconds for open flows to end",
      .fallback = "0",
      .max = MAX_WAIT_SECONDS},
 };
 
-/* Gives the order to whichever control instance has the agent. */
+/* Sends the order to each control instance in turn, until the one that the
+ * agent is connected to accepts it. Returns the exit code. */
 static int
-give_order(const struct upstream_settings *settings,
+send_order(const struct upstream_settings *settings,
            const struct rp_name *upstream, bool draining)
 {
     const struct rp_msg request = {
@@ -36,12 +38,12 @@
     int exit_code = RP_CLI_UNREACHABLE;
 
     for (size_t i = 0; i < settings->cli.controls.count; i++) {
-        struct rp_cli_settings one = settings->cli;
+        struct rp_cli_settings single = settings->cli;
         struct rp_msg answer;
-        one.controls.count = 1;
-        one.controls.item[0] = settings->cli.controls.item[i];
-        one.timeout_seconds = 1;
-        if (!RpCli_Ask(&one, &request, RP_MSG_ORDER_REPLY, &answer,
+        single.controls.count = 1;
+        single.controls.item[0] = settings->cli.controls.item[i];
+        single.timeout_seconds = 1;
+        if (!RpCli_Ask(&single, &request, RP_MSG_ORDER_REPLY, &answer,
                        &exit_code)) {
             continue;
         }
@@ -56,7 +58,8 @@
     return exit_code;
 }
 
-/* The upstream's open flows, or -1 if it is not there any more. */
+/* Returns the number of the upstream's open flows; -1 if no control instance
+ * answers or the status does not list the upstream any more. */
 static int64_t
 count_flows(const struct upstream_settings *settings,
             const struct rp_name *upstream)
@@ -79,6 +82,8 @@
     return flows;
 }
 
+/* Waits until the upstream has no open flows or --wait-seconds have passed,
+ * and shows their number meanwhile. */
 static void
 wait_for_flows(const struct upstream_settings *settings,
                const struct rp_name *upstream)
@@ -96,8 +101,8 @@
 }
 
 static int
-run(int argc, char **argv, const char *program, const char *usage,
-    bool draining)
+run_command(int argc, char **argv, const char *program, const char *usage,
+            bool draining)
 {
     struct upstream_settings settings = {0};
     struct rp_name upstream;
@@ -109,10 +114,10 @@
         return exit_code;
     }
     if (!RpName_Set(&upstream, RpStr_FromC(settings.upstream->str))) {
-        fprintf(stderr, "NAME: too long\n");
+        fprintf(stderr, "NAME: longer than %d bytes\n", RP_NAME_MAX);
         return RP_CLI_USAGE;
     }
-    exit_code = give_order(&settings, &upstream, draining);
+    exit_code = send_order(&settings, &upstream, draining);
     if (exit_code == RP_CLI_OK && draining && settings.wait_seconds) {
         wait_for_flows(&settings, &upstream);
     }
@@ -122,15 +127,16 @@
 int
 RpCli_UpstreamDrain(int argc, char **argv)
 {
-    return run(argc, argv, "radishport upstream drain",
-               "Lets an upstream finish its open flows and take no new ones, "
-               "until it is resumed\nor its agent is started anew.",
-               true);
+    return run_command(
+        argc, argv, "radishport upstream drain",
+        "Stops new flows to an upstream until it is resumed or its "
+        "agent restarts.\nOpen flows go on.",
+        true);
 }
 
 int
 RpCli_UpstreamResume(int argc, char **argv)
 {
-    return run(argc, argv, "radishport upstream resume",
-               "Lets a drained upstream take new flows again.", false);
+    return run_command(argc, argv, "radishport upstream resume",
+                       "Allows new flows to a drained upstream.", false);
 }
