--- a/tests/standins/caller.c
+++ b/tests/standins/caller.c
@@ -1,6 +1,6 @@
-/* Stand-in for the callers' side: real TCP clients connect to a port here,
- * and each connection becomes a TCP connection of the stand-in stack to a
- * service's address, its packets handed to the fabric. */
+/* Stand-in for callers: accepts TCP connections of real clients and relays
+ * each one over a TCP connection of the lwIP stack to a service's address. The
+ * stack's packets go to the fabric. */
 #include <glib-unix.h>
 #include <sys/socket.h>
 #include <unistd.h>
@@ -15,8 +15,8 @@
     struct rp_endpoint address; /* the callers' IP; the port is not used */
     struct rp_endpoint listen;
     struct rp_endpoint fabric;
-    struct rp_endpoints ports;    /* where real clients connect */
-    struct rp_endpoints services; /* in the same order */
+    struct rp_endpoints ports;    /* real clients connect here */
+    struct rp_endpoints services; /* item i belongs to item i of `ports` */
 };
 
 static struct caller_settings settings;
@@ -31,17 +31,17 @@
      .kind = RP_SETTING_ENDPOINT,
      .offset = offsetof(struct caller_settings, listen),
      .value = "ADDR:PORT",
-     .help = "take datagrams from the fabric here"},
+     .help = "address that receives datagrams from the fabric"},
     {.flag = "fabric",
      .kind = RP_SETTING_ENDPOINT,
      .offset = offsetof(struct caller_settings, fabric),
      .value = "ADDR:PORT",
-     .help = "the fabric's side for callers"},
+     .help = "the fabric's address for callers"},
     {.flag = "ports",
      .kind = RP_SETTING_ENDPOINTS,
      .offset = offsetof(struct caller_settings, ports),
      .value = "ADDR:PORT,…",
-     .help = "take real clients here"},
+     .help = "addresses that accept real clients"},
     {.flag = "services",
      .kind = RP_SETTING_ENDPOINTS,
      .offset = offsetof(struct caller_settings, services),
@@ -49,32 +49,34 @@
      .help = "service addresses, one for each of --ports"},
 };
 
-/* A real client whose connection through the system is not yet open. */
-struct opening {
+/* A real client whose connection to the service is not established yet. */
+struct pending_client {
     int fd;
 };
 
 static err_t
 on_connected(void *arg, struct tcp_pcb *pcb, err_t err)
 {
-    struct opening *opening = arg;
+    struct pending_client *pending_client = arg;
 
     (void)err;
-    splice_start(pcb, opening->fd);
-    g_free(opening);
+    splice_start(pcb, pending_client->fd);
+    g_free(pending_client);
     return ERR_OK;
 }
 
+/* The connection to the service failed: resets the client's connection. */
 static void
-on_refused(void *arg, err_t err)
+on_connect_failed(void *arg, err_t err)
 {
-    struct opening *opening = arg;
+    struct pending_client *pending_client = arg;
     struct linger linger = {.l_onoff = 1, .l_linger = 0};
 
     (void)err;
-    setsockopt(opening->fd, SOL_SOCKET, SO_LINGER, &linger, sizeof linger);
-    close(opening->fd);
-    g_free(opening);
+    setsockopt(pending_client->fd, SOL_SOCKET, SO_LINGER, &linger,
+               sizeof linger);
+    close(pending_client->fd);
+    g_free(pending_client);
 }
 
 static gboolean
@@ -87,13 +89,13 @@
     if (client < 0) {
         return G_SOURCE_CONTINUE;
     }
-    struct opening *opening = g_new0(struct opening, 1);
+    struct pending_client *pending_client = g_new0(struct pending_client, 1);
     struct tcp_pcb *pcb = tcp_new();
     ip_addr_t from = link_address(settings.address.ip);
     ip_addr_t to = link_address(service->ip);
-    opening->fd = client;
-    tcp_arg(pcb, opening);
-    tcp_err(pcb, on_refused);
+    pending_client->fd = client;
+    tcp_arg(pcb, pending_client);
+    tcp_err(pcb, on_connect_failed);
     if (tcp_bind(pcb, &from, 0) != ERR_OK ||
         tcp_connect(pcb, &to, service->port, on_connected) != ERR_OK) {
         tcp_abort(pcb);
--- a/tests/standins/client.c
+++ b/tests/standins/client.c
@@ -1,6 +1,6 @@
-/* An ordinary TCP client that checks every byte: POSTs random bodies to
- * the echo of a service over a number of connections at once, each used for
- * several requests, and compares each answer with its request.
+/* HTTP client that checks every byte of its answers: it POSTs random bodies to
+ * the /echo of a service over several connections at once, with several
+ * requests on each, and compares each answer with its request.
  *
  * Prints "client: half" when half of the answers are in, and at the end
  * "client: requests=N answered=N broken=N misdirected=N". */
@@ -15,13 +15,13 @@
 
 struct client_settings {
     struct rp_endpoints targets;
-    GString *services; /* names, comma-separated, one for each target */
+    GString *services; /* comma-separated names, one for each target */
     uint32_t requests; /* for each target */
     uint32_t connections;
     uint32_t per_connection;
     uint32_t body_bytes;
     uint32_t pause_ms;
-    uint32_t server_ms; /* how long the server shall take */
+    uint32_t server_ms; /* response time that the server is asked for */
     uint32_t seed;
     GString *reading_prefix;
 };
@@ -33,7 +33,7 @@
      .kind = RP_SETTING_ENDPOINTS,
      .offset = offsetof(struct client_settings, targets),
      .value = "ADDR:PORT,…",
-     .help = "where to connect"},
+     .help = "addresses to connect to"},
     {.flag = "services",
      .kind = RP_SETTING_TEXT,
      .offset = offsetof(struct client_settings, services),
@@ -57,14 +57,14 @@
      .kind = RP_SETTING_UINT,
      .offset = offsetof(struct client_settings, per_connection),
      .value = "N",
-     .help = "requests on each connection before a new one",
+     .help = "requests on a connection before it is replaced",
      .fallback = "50",
      .max = 100000000},
     {.flag = "body-bytes",
      .kind = RP_SETTING_UINT,
      .offset = offsetof(struct client_settings, body_bytes),
      .value = "N",
-     .help = "largest body",
+     .help = "upper bound of the body size",
      .fallback = "4096",
      .max = 1 << 20},
     {.flag = "pause-ms",
@@ -78,25 +78,25 @@
      .kind = RP_SETTING_UINT,
      .offset = offsetof(struct client_settings, server_ms),
      .value = "N",
-     .help = "how long the server shall take for an answer",
+     .help = "response time that the server is asked for",
      .fallback = "0",
      .max = 3600000},
     {.flag = "seed",
      .kind = RP_SETTING_UINT,
      .offset = offsetof(struct client_settings, seed),
      .value = "N",
-     .help = "of the bodies",
+     .help = "seed of the random bodies",
      .fallback = "1",
      .max = UINT32_MAX},
     {.flag = "reading-prefix",
      .kind = RP_SETTING_TEXT,
      .offset = offsetof(struct client_settings, reading_prefix),
      .value = "TEXT",
-     .help = "begin of each request's X-Reading header",
+     .help = "prefix of each request's X-Reading header",
      .fallback = "r"},
 };
 
-/* One connection and the request under way on it. */
+/* One connection and its current request. */
 struct worker {
     size_t target;
     const char *service;
@@ -113,17 +113,17 @@
 };
 
 static GMainLoop *loop;
-static GRand *dice;
-static uint32_t left[RP_ENDPOINTS_MAX];
+static GRand *rng;
+static uint32_t left[RP_ENDPOINTS_MAX]; /* requests not yet started */
 static uint32_t started;
 static uint32_t answered;
 static uint32_t broken;
 static uint32_t misdirected;
 static uint32_t total;
-static bool told_half;
+static bool half_reported;
 static GPtrArray *workers;
 
-static void next_request(struct worker *worker);
+static void start_next_request(struct worker *worker);
 static void start_read(struct worker *worker);
 
 static void
@@ -138,7 +138,7 @@
 static gboolean
 on_pause_over(gpointer data)
 {
-    next_request(data);
+    start_next_request(data);
     return G_SOURCE_REMOVE;
 }
 
@@ -146,8 +146,8 @@
 finish_request(struct worker *worker)
 {
     worker->busy = false;
-    if (!told_half && (answered + broken + misdirected) * 2 >= total) {
-        told_half = true;
+    if (!half_reported && (answered + broken + misdirected) * 2 >= total) {
+        half_reported = true;
         printf("client: half\n");
         fflush(stdout);
     }
@@ -170,9 +170,10 @@
     finish_request(worker);
 }
 
-/* Whether a whole answer is in; `*body` gets where its body starts. */
+/* Returns whether `input` holds a complete answer, and sets `*body` to the
+ * offset of its body. */
 static bool
-answer_is_whole(const GString *input, size_t *body)
+is_complete_answer(const GString *input, size_t *body)
 {
     const char *end = strstr(input->str, "\r\n\r\n");
     const char *length = strcasestr(input->str, "content-length:");
@@ -188,6 +189,8 @@
     return RpStr_ToUint(value, UINT32_MAX, &len) && input->len - *body >= len;
 }
 
+/* Counts the answer: answered if it has the expected bytes, misdirected if it
+ * comes from another service, else broken. */
 static void
 check_answer(struct worker *worker, size_t body)
 {
@@ -226,7 +229,7 @@
         return;
     }
     g_string_append_len(worker->input, worker->chunk, got);
-    if (!answer_is_whole(worker->input, &body)) {
+    if (!is_complete_answer(worker->input, &body)) {
         start_read(worker);
         return;
     }
@@ -308,12 +311,12 @@
 static void
 prepare_request(struct worker *worker)
 {
-    uint32_t len = (uint32_t)g_rand_int_range(dice, 1,
+    uint32_t len = (uint32_t)g_rand_int_range(rng, 1,
                                               (gint32)settings.body_bytes);
 
     g_string_truncate(worker->body, 0);
     for (uint32_t i = 0; i < len; i++) {
-        g_string_append_c(worker->body, (gchar)g_rand_int_range(dice, 0, 256));
+        g_string_append_c(worker->body, (gchar)g_rand_int_range(rng, 0, 256));
     }
     g_string_printf(worker->request,
                     "POST /echo%s%.0u HTTP/1.1\r\nHost: service\r\n"
@@ -329,7 +332,7 @@
 }
 
 static void
-next_request(struct worker *worker)
+start_next_request(struct worker *worker)
 {
     if (left[worker->target] == 0) {
         drop_connection(worker);
@@ -348,7 +351,7 @@
     }
 }
 
-/* Requests without an answer for too long are given up. */
+/* Cancels requests that had no answer within REQUEST_TIMEOUT_US. */
 static gboolean
 on_tick(gpointer data)
 {
@@ -383,9 +386,9 @@
             worker->expected = g_string_new(NULL);
             worker->input = g_string_new(NULL);
             g_ptr_array_add(workers, worker);
-            g_timeout_add((guint)g_rand_int_range(
-                              dice, 0, (gint32)settings.pause_ms + 1),
-                          on_pause_over, worker);
+            g_timeout_add(
+                (guint)g_rand_int_range(rng, 0, (gint32)settings.pause_ms + 1),
+                on_pause_over, worker);
         }
     }
 }
@@ -397,11 +400,12 @@
                           "standin-client", argc, argv, &settings);
     gchar **services = g_strsplit(settings.services->str, ",", -1);
     if (g_strv_length(services) != settings.targets.count) {
-        fprintf(stderr, "--services: must name one for each target\n");
+        fprintf(stderr, "--services: %u names for %zu targets\n",
+                g_strv_length(services), settings.targets.count);
         g_strfreev(services);
         return 2;
     }
-    dice = g_rand_new_with_seed(settings.seed);
+    rng = g_rand_new_with_seed(settings.seed);
     loop = g_main_loop_new(NULL, FALSE);
     start_workers(services);
     g_timeout_add(TICK_MS, on_tick, NULL);
--- a/tests/standins/fabric.c
+++ b/tests/standins/fabric.c
@@ -1,6 +1,6 @@
-/* Stand-in for the network fabric: hands each packet of a caller to any
- * balancer at random, and packets of the system to the callers. Loses,
- * delays (and so reorders) and duplicates packets, by seed. */
+/* Stand-in for the network fabric: sends each packet of a caller to a random
+ * balancer, and the packets of agents and balancers to the callers. Loses,
+ * delays (and so reorders) and duplicates packets at random, by a seed. */
 #include <arpa/inet.h>
 #include <errno.h>
 #include <glib-unix.h>
@@ -17,9 +17,11 @@
 
 #define PERMILLE 1000
 #define MAX_DELAY_MS 10
+/* An unreachable balancer gets no packets for this long, then a probe. */
 #define DOWN_US (500 * RP_US_PER_MS)
-#define PROBE_US (200 * RP_US_PER_MS) /* without an error: back in use */
-#define BUFFER 16384
+/* A probe without an error for this long puts the balancer back in use. */
+#define PROBE_US (200 * RP_US_PER_MS)
+#define BUFFER_BYTES 16384
 
 struct fabric_settings {
     struct rp_endpoint callers; /* callers send here */
@@ -31,8 +33,8 @@
     uint32_t seed;
 };
 
-/* One balancer behind a connected socket, which reports when nobody
- * listens at the other end. */
+/* A balancer and the UDP socket connected to it. The connected socket reports
+ * an error if no process listens on the balancer's port. */
 struct balancer {
     int fd;
     int64_t down_until;  /* 0: in use */
@@ -44,69 +46,70 @@
 static struct rp_counters counters;
 static struct balancer balancers[RP_ENDPOINTS_MAX];
 static GHashTable *callers; /* inner address -> struct rp_endpoint */
-static GRand *dice;
+static GRand *rng;
 
 static const struct rp_setting settings_table[] = {
     {.flag = "callers",
      .kind = RP_SETTING_ENDPOINT,
      .offset = offsetof(struct fabric_settings, callers),
      .value = "ADDR:PORT",
-     .help = "take callers' datagrams here"},
+     .help = "address that receives the callers' datagrams"},
     {.flag = "system",
      .kind = RP_SETTING_ENDPOINT,
      .offset = offsetof(struct fabric_settings, system),
      .value = "ADDR:PORT",
-     .help = "take the system's datagrams here"},
+     .help = "address that receives the agents' datagrams"},
     {.flag = "balancers",
      .kind = RP_SETTING_ENDPOINTS,
      .offset = offsetof(struct fabric_settings, balancers),
      .value = "ADDR:PORT,…",
-     .help = "where balancers may be"},
+     .help = "addresses of the balancers"},
     {.flag = "loss-permille",
      .kind = RP_SETTING_UINT,
      .offset = offsetof(struct fabric_settings, loss_permille),
      .value = "N",
-     .help = "packets lost",
+     .help = "share of packets lost",
      .fallback = "0",
      .max = PERMILLE},
     {.flag = "reorder-permille",
      .kind = RP_SETTING_UINT,
      .offset = offsetof(struct fabric_settings, reorder_permille),
      .value = "N",
-     .help = "packets delayed behind others",
+     .help = "share of packets delayed behind later ones",
      .fallback = "0",
      .max = PERMILLE},
     {.flag = "duplicate-permille",
      .kind = RP_SETTING_UINT,
      .offset = offsetof(struct fabric_settings, duplicate_permille),
      .value = "N",
-     .help = "packets sent twice",
+     .help = "share of packets sent twice",
      .fallback = "0",
      .max = PERMILLE},
     {.flag = "seed",
      .kind = RP_SETTING_UINT,
      .offset = offsetof(struct fabric_settings, seed),
      .value = "N",
-     .help = "of the dice",
+     .help = "seed of the random number generator",
      .fallback = "1",
      .max = UINT32_MAX},
 };
 
-/* A packet on its way: to any balancer, or to one caller. */
-struct parcel {
+/* A datagram to forward, to any balancer or to one caller. */
+struct datagram {
     bool to_balancer;
     struct rp_endpoint caller;
     size_t len;
     uint8_t data[];
 };
 
+/* Returns true with the given probability. */
 static bool
-roll(uint32_t permille)
+has_chance(uint32_t permille)
 {
-    return permille && g_rand_int_range(dice, 0, PERMILLE) < (int)permille;
+    return permille && g_rand_int_range(rng, 0, PERMILLE) < (int)permille;
 }
 
-/* Leaves a balancer that nobody answers for alone for a while. */
+/* Stops sending to an unreachable balancer for DOWN_US. */
 static void
 mark_down(struct balancer *balancer, int64_t now)
 {
@@ -116,8 +119,9 @@
     fflush(stdout);
 }
 
-/* Whether packets may go to a balancer. One that was down is tried with an
- * empty datagram first, so that no caller's packet is lost for it. */
+/* Returns whether packets may go to a balancer. After DOWN_US an unreachable
+ * balancer is probed with an empty datagram first, so that no caller's packet
+ * is lost if it is still down. */
 static bool
 is_usable(struct balancer *balancer, int64_t now)
 {
@@ -142,11 +146,12 @@
     return true;
 }
 
+/* Sends a datagram to a random balancer; if that one is down, to the next. */
 static void
-spray(const struct parcel *parcel)
+send_to_balancer(const struct datagram *datagram)
 {
     size_t count = settings.balancers.count;
-    size_t first = (size_t)g_rand_int_range(dice, 0, (gint32)count);
+    size_t first = (size_t)g_rand_int_range(rng, 0, (gint32)count);
     int64_t now = g_get_monotonic_time();
 
     for (size_t i = 0; i < count; i++) {
@@ -154,7 +159,7 @@
         if (!is_usable(balancer, now)) {
             continue;
         }
-        if (send(balancer->fd, parcel->data, parcel->len, 0) >= 0 ||
+        if (send(balancer->fd, datagram->data, datagram->len, 0) >= 0 ||
             errno == EAGAIN) {
             return;
         }
@@ -163,14 +168,14 @@
 }
 
 static void
-deliver(const struct parcel *parcel)
+deliver(const struct datagram *datagram)
 {
-    if (parcel->to_balancer) {
-        spray(parcel);
+    if (datagram->to_balancer) {
+        send_to_balancer(datagram);
         return;
     }
-    RpUdp_SendCopy(caller_side, parcel->caller, parcel->data, 0, parcel->data,
-                   parcel->len);
+    RpUdp_SendCopy(caller_side, datagram->caller, datagram->data, 0,
+                   datagram->data, datagram->len);
 }
 
 static gboolean
@@ -181,26 +186,29 @@
 }
 
 static void
-forward(const struct parcel *parcel)
+forward(const struct datagram *datagram)
 {
-    if (roll(settings.loss_permille)) {
+    if (has_chance(settings.loss_permille)) {
         return;
     }
-    if (roll(settings.duplicate_permille)) {
-        deliver(parcel);
+    if (has_chance(settings.duplicate_permille)) {
+        deliver(datagram);
     }
-    if (roll(settings.reorder_permille)) {
-        struct parcel *copy = g_memdup2(parcel, sizeof *parcel + parcel->len);
-        guint delay = (guint)g_rand_int_range(dice, 1, MAX_DELAY_MS);
+    if (has_chance(settings.reorder_permille)) {
+        struct datagram *copy = g_memdup2(datagram,
+                                          sizeof *datagram + datagram->len);
+        guint delay = (guint)g_rand_int_range(rng, 1, MAX_DELAY_MS);
         g_timeout_add_full(G_PRIORITY_DEFAULT, delay, on_delay_over, copy,
                            g_free);
         return;
     }
-    deliver(parcel);
+    deliver(datagram);
 }
 
-static struct parcel *
-make_parcel(const uint8_t *data, size_t len, struct rp_packet *packet)
+/* Copies a Geneve datagram and parses its inner packet. Returns NULL if either
+ * is malformed; the caller frees the copy. */
+static struct datagram *
+copy_datagram(const uint8_t *data, size_t len, struct rp_packet *packet)
 {
     struct rp_geneve geneve;
     enum rp_counter reason;
@@ -209,10 +217,10 @@
         !RpPacket_Parse(geneve.inner, geneve.inner_len, packet, &reason)) {
         return NULL;
     }
-    struct parcel *parcel = g_malloc0(sizeof *parcel + len);
-    parcel->len = len;
-    memcpy(parcel->data, data, len);
-    return parcel;
+    struct datagram *datagram = g_malloc0(sizeof *datagram + len);
+    datagram->len = len;
+    memcpy(datagram->data, data, len);
+    return datagram;
 }
 
 static void
@@ -220,17 +228,17 @@
                    struct rp_endpoint from)
 {
     struct rp_packet packet;
-    struct parcel *parcel = make_parcel(data, len, &packet);
+    struct datagram *datagram = copy_datagram(data, len, &packet);
 
     (void)user;
-    if (!parcel) {
+    if (!datagram) {
         return;
     }
     g_hash_table_replace(callers, GUINT_TO_POINTER(packet.key.src_ip),
                          g_memdup2(&from, sizeof from));
-    parcel->to_balancer = true;
-    forward(parcel);
-    g_free(parcel);
+    datagram->to_balancer = true;
+    forward(datagram);
+    g_free(datagram);
 }
 
 static void
@@ -238,33 +246,33 @@
                    struct rp_endpoint from)
 {
     struct rp_packet packet;
-    struct parcel *parcel = make_parcel(data, len, &packet);
+    struct datagram *datagram = copy_datagram(data, len, &packet);
 
     (void)user;
     (void)from;
-    if (!parcel) {
+    if (!datagram) {
         return;
     }
     const struct rp_endpoint *caller = g_hash_table_lookup(
         callers, GUINT_TO_POINTER(packet.key.dst_ip));
     if (caller) {
-        parcel->caller = *caller;
-        forward(parcel);
+        datagram->caller = *caller;
+        forward(datagram);
     }
-    g_free(parcel);
+    g_free(datagram);
 }
 
-/* A balancer answers a packet itself only to refuse it. */
+/* A balancer sends a packet back itself only if it refuses the flow. */
 static gboolean
 on_balancer_reply(gint fd, GIOCondition condition, gpointer data)
 {
-    uint8_t buffer[BUFFER];
+    uint8_t buffer[BUFFER_BYTES];
     ssize_t got = recv(fd, buffer, sizeof buffer, MSG_DONTWAIT);
 
     (void)condition;
     if (got < 0 && errno != EAGAIN) {
-        /* The report that nobody listens comes here or at the next send,
-         * whichever is first. */
+        /* The socket's pending error (port unreachable) is returned once, by
+         * the first call after it: this one or the next send. */
         mark_down(data, g_get_monotonic_time());
     }
     if (got > 0) {
@@ -298,14 +306,14 @@
     standin_read_settings(settings_table, G_N_ELEMENTS(settings_table),
                           "standin-fabric", argc, argv, &settings);
     RpError_Init(&error);
-    dice = g_rand_new_with_seed(settings.seed);
+    rng = g_rand_new_with_seed(settings.seed);
     callers = g_hash_table_new_full(NULL, NULL, NULL, g_free);
     open_balancers();
     caller_side = RpUdp_Open(settings.callers, on_caller_datagram, NULL,
                              &counters, &error);
     if (!caller_side || !RpUdp_Open(settings.system, on_system_datagram, NULL,
                                     &counters, &error)) {
-        fprintf(stderr, "standin-fabric: cannot open its sockets\n");
+        fprintf(stderr, "standin-fabric: cannot open --callers or --system\n");
         return 1;
     }
     standin_run();
--- a/tests/standins/host.c
+++ b/tests/standins/host.c
@@ -1,6 +1,6 @@
-/* Stand-in for an upstream host: takes the inner packets that its agent
- * hands over, speaks TCP with the caller and relays each connection to a
- * real server on this machine. */
+/* Stand-in for an upstream host: receives the inner packets from its agent,
+ * accepts the callers' TCP connections in the lwIP stack, and relays each one
+ * to a real server on this machine. */
 #include <glib.h>
 
 #include "link.h"
@@ -8,7 +8,7 @@
 #include "standin.h"
 
 struct host_settings {
-    struct rp_endpoint address; /* of the service */
+    struct rp_endpoint address; /* the service's address */
     struct rp_endpoint listen;
     struct rp_endpoint agent;
     struct rp_endpoint server;
@@ -26,17 +26,17 @@
      .kind = RP_SETTING_ENDPOINT,
      .offset = offsetof(struct host_settings, listen),
      .value = "ADDR:PORT",
-     .help = "take datagrams from the agent here"},
+     .help = "address that receives datagrams from the agent"},
     {.flag = "agent",
      .kind = RP_SETTING_ENDPOINT,
      .offset = offsetof(struct host_settings, agent),
      .value = "ADDR:PORT",
-     .help = "the agent's side for its host"},
+     .help = "the agent's address for its host"},
     {.flag = "server",
      .kind = RP_SETTING_ENDPOINT,
      .offset = offsetof(struct host_settings, server),
      .value = "ADDR:PORT",
-     .help = "the real server"},
+     .help = "address of the real server"},
 };
 
 static err_t
--- a/tests/standins/link.c
+++ b/tests/standins/link.c
@@ -1,3 +1,4 @@
+/* The lwIP network interface that carries packets as Geneve over UDP. */
 #include "link.h"
 
 #include <glib.h>
@@ -12,11 +13,11 @@
 #include "rp_udp.h"
 
 #define MTU 1400
-#define TIMER_MS 5
+#define TIMER_MS 5 /* period of lwIP's timers */
 
 static struct netif netif;
 static struct rp_udp *udp;
-static struct rp_endpoint peer;
+static struct rp_endpoint peer; /* receives the stack's packets */
 static struct rp_counters counters;
 
 static err_t
--- a/tests/standins/link.h
+++ b/tests/standins/link.h
@@ -1,19 +1,20 @@
-/* A small TCP/IP stack (lwIP) whose only link is Geneve over UDP.
+/* An lwIP TCP/IP stack whose only network interface is Geneve over UDP.
  *
- * Stand-ins for callers and hosts run real TCP through the system with it,
- * unprivileged and on the main loop. */
+ * The stand-ins for callers and hosts use it to run real TCP through the
+ * system on the GLib main loop, without privileges. */
 #ifndef LINK_H
 #define LINK_H
 
 #include "lwip/tcp.h"
 #include "rp_endpoint.h"
 
-/* Starts the stack with one address. Datagrams come in at `listen` and go
- * out to `peer`. Prints why and returns false on failure. */
+/* Starts the stack with one IPv4 address (host byte order). It receives
+ * datagrams at `listen` and sends them to `peer`. On failure prints the reason
+ * and returns false. */
 bool link_start(uint32_t address, struct rp_endpoint listen,
                 struct rp_endpoint peer);
 
-/* An address as lwIP wants it. */
+/* Converts an IPv4 address in host byte order to lwIP's form. */
 ip_addr_t link_address(uint32_t address);
 
 #endif
--- a/tests/standins/server.c
+++ b/tests/standins/server.c
@@ -1,11 +1,11 @@
-/* Stand-in for a service's server: HTTP by libsoup.
+/* Stand-in for a service's server: an HTTP server on libsoup.
  *
- *   POST /echo        answers "<service>\n" and the body reversed
+ *   POST /echo        returns "<service>\n" and the reversed body
  *   POST /echo?ms=N   the same after N milliseconds
- *   GET  /bytes/N     answers N bytes of a fixed pattern
+ *   GET  /bytes/N     returns N bytes of a fixed pattern
  *
- * Every POST is logged as one line with the X-Reading header, so that a
- * test can count how often a reading arrived. */
+ * Logs one line for each POST that has an X-Reading header, so that a test can
+ * count how often a reading arrived. */
 #include <libsoup/soup.h>
 #include <stdlib.h>
 
@@ -25,7 +25,7 @@
      .kind = RP_SETTING_ENDPOINT,
      .offset = offsetof(struct server_settings, listen),
      .value = "ADDR:PORT",
-     .help = "serve HTTP here"},
+     .help = "address of the HTTP server"},
     {.flag = "service",
      .kind = RP_SETTING_NAME,
      .offset = offsetof(struct server_settings, service),
@@ -55,7 +55,7 @@
 }
 
 static gboolean
-on_wait_over(gpointer data)
+on_delay_end(gpointer data)
 {
     SoupServerMessage *message = data;
 
@@ -69,7 +69,7 @@
 on_echo(SoupServer *server, SoupServerMessage *message, const char *path,
         GHashTable *query, gpointer data)
 {
-    const char *wait = query ? g_hash_table_lookup(query, "ms") : NULL;
+    const char *delay_ms = query ? g_hash_table_lookup(query, "ms") : NULL;
     const char *reading = soup_message_headers_get_one(
         soup_server_message_get_request_headers(message), "X-Reading");
 
@@ -80,9 +80,9 @@
         printf("reading=%s service=%s\n", reading, settings.service.data);
         fflush(stdout);
     }
-    if (wait) {
+    if (delay_ms) {
         soup_server_message_pause(message);
-        g_timeout_add((guint)strtoul(wait, NULL, 10), on_wait_over,
+        g_timeout_add((guint)strtoul(delay_ms, NULL, 10), on_delay_end,
                       g_object_ref(message));
         return;
     }
--- a/tests/standins/splice.c
+++ b/tests/standins/splice.c
@@ -1,3 +1,4 @@
+/* Relays between an lwIP connection and a TCP socket. */
 #include "splice.h"
 
 #include <errno.h>
@@ -7,7 +8,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define CHUNK 16384
+#define CHUNK_BYTES 16384
 
 struct splice {
     struct tcp_pcb *pcb; /* NULL once the stack has freed it */
@@ -15,9 +16,9 @@
     guint read_source;
     guint write_source;
     GByteArray *to_fd;
-    bool stack_ended; /* the stack's peer sent its end */
-    bool fd_ended;    /* the socket's peer did */
-    bool fd_shut;     /* we have passed the stack's end on */
+    bool stack_ended; /* the stack's peer sent a FIN */
+    bool fd_ended;    /* the socket's peer sent a FIN */
+    bool fd_shut;     /* the stack's FIN was sent on to the socket */
 };
 
 static gboolean on_readable(gint fd, GIOCondition condition, gpointer data);
@@ -35,9 +36,9 @@
     splice->write_source = 0;
 }
 
-/* Frees the splice. A reset is passed on as a reset. */
+/* Closes both connections, with a reset if `reset`, and frees the splice. */
 static void
-finish(struct splice *splice, bool reset)
+close_splice(struct splice *splice, bool reset)
 {
     drop_sources(splice);
     if (splice->pcb) {
@@ -76,7 +77,8 @@
     }
 }
 
-/* Writes what it can; false if the socket failed. */
+/* Writes as much as the socket takes, and shuts it down after the stack's FIN.
+ * Returns false if the socket failed. */
 static bool
 flush_to_fd(struct splice *splice)
 {
@@ -104,11 +106,11 @@
     (void)fd;
     (void)condition;
     if (!flush_to_fd(splice)) {
-        finish(splice, true);
+        close_splice(splice, true);
         return G_SOURCE_CONTINUE;
     }
     if (is_done(splice)) {
-        finish(splice, false);
+        close_splice(splice, false);
         return G_SOURCE_CONTINUE;
     }
     if (splice->to_fd->len) {
@@ -131,20 +133,20 @@
 on_readable(gint fd, GIOCondition condition, gpointer data)
 {
     struct splice *splice = data;
-    char buffer[CHUNK];
-    size_t room = MIN(tcp_sndbuf(splice->pcb), sizeof buffer);
+    char buffer[CHUNK_BYTES];
+    size_t capacity = MIN(tcp_sndbuf(splice->pcb), sizeof buffer);
 
     (void)condition;
-    if (room == 0) {
+    if (capacity == 0) {
         splice->read_source = 0;
         return G_SOURCE_REMOVE;
     }
-    ssize_t got = recv(fd, buffer, room, 0);
+    ssize_t got = recv(fd, buffer, capacity, 0);
     if (got < 0) {
         if (errno == EAGAIN || errno == EINTR) {
             return G_SOURCE_CONTINUE;
         }
-        finish(splice, true);
+        close_splice(splice, true);
         return G_SOURCE_CONTINUE;
     }
     if (got == 0) {
@@ -158,7 +160,7 @@
     }
     if (tcp_write(splice->pcb, buffer, (u16_t)got, TCP_WRITE_FLAG_COPY) !=
         ERR_OK) {
-        finish(splice, true);
+        close_splice(splice, true);
         return G_SOURCE_CONTINUE;
     }
     tcp_output(splice->pcb);
@@ -201,7 +203,7 @@
 
     (void)err;
     splice->pcb = NULL;
-    finish(splice, true);
+    close_splice(splice, true);
 }
 
 void
--- a/tests/standins/standin.c
+++ b/tests/standins/standin.c
@@ -1,3 +1,4 @@
+/* Shared code of the stand-ins: settings, TCP sockets and the main loop. */
 #include "standin.h"
 
 #include <arpa/inet.h>
@@ -30,7 +31,7 @@
 }
 
 static struct sockaddr_in
-socket_address(struct rp_endpoint address)
+make_sockaddr(struct rp_endpoint address)
 {
     return (struct sockaddr_in){.sin_family = AF_INET,
                                 .sin_port = htons(address.port),
@@ -54,7 +55,7 @@
 int
 standin_listen(struct rp_endpoint address)
 {
-    struct sockaddr_in name = socket_address(address);
+    struct sockaddr_in name = make_sockaddr(address);
     int fd = open_tcp();
     int on = 1;
 
@@ -70,7 +71,7 @@
 int
 standin_connect(struct rp_endpoint address)
 {
-    struct sockaddr_in name = socket_address(address);
+    struct sockaddr_in name = make_sockaddr(address);
     int fd = open_tcp();
 
     if (connect(fd, (struct sockaddr *)&name, sizeof name) &&
