--- a/tests/measure/cost.c
+++ b/tests/measure/cost.c
@@ -1,6 +1,6 @@
-/* Measures what the parts cost on this machine: nanoseconds a packet, bytes
- * a flow, tables at the target's size, control messages. One line a figure;
- * where a slope is wanted, one line for each size. */
+/* Measures the cost of the main operations on this machine: time per packet,
+ * memory per flow, tables of the target size, control messages. Prints one
+ * line per measurement; where the growth matters, one line for each size. */
 #include <arpa/inet.h>
 #include <malloc.h>
 #include <netinet/in.h>
@@ -25,6 +25,7 @@
 #define RELAY_ROUNDS 6000
 #define PAYLOAD 512
 
+/* Returns the processor time of this process in nanoseconds. */
 static int64_t
 now_ns(void)
 {
@@ -34,7 +35,7 @@
     return (int64_t)time.tv_sec * 1000000000 + time.tv_nsec;
 }
 
-/* Bytes that the allocator has given out. */
+/* Returns the number of bytes allocated on the heap. */
 static size_t
 heap_bytes(void)
 {
@@ -44,7 +45,7 @@
 }
 
 static void
-name_it(struct rp_name *name, const char *kind, unsigned number)
+set_numbered_name(struct rp_name *name, const char *kind, unsigned number)
 {
     gchar *text = g_strdup_printf("%s-%u", kind, number);
 
@@ -52,8 +53,8 @@
     g_free(text);
 }
 
-/* A whole table message with `services` services of 1 to 7 members, about
- * 18,000 hosts for 4,600 services. */
+/* Builds a complete table message with `hosts` hosts spread evenly over
+ * `services` services. The target size is 18,000 hosts in 4,600 services. */
 static void
 build_table(struct rp_msg *msg, unsigned services, unsigned hosts)
 {
@@ -76,13 +77,13 @@
             .long_slots_percent = 100,
             .members = RpSchema_NewList(&rp_msg_member_schema)};
         unsigned until = (unsigned)((uint64_t)hosts * (i + 1) / services);
-        name_it(&service.name, "service", i);
+        set_numbered_name(&service.name, "service", i);
         for (; host < until; host++) {
             struct rp_msg_member member = {.agent_ip = 0x0b000000 + host,
                                            .agent_port = 6081,
                                            .slots = 7,
                                            .state = RP_UPSTREAM_READY};
-            name_it(&member.upstream, "upstream", host);
+            set_numbered_name(&member.upstream, "upstream", host);
             g_array_append_val(service.members, member);
         }
         g_array_append_val(msg->table.services, service);
@@ -104,6 +105,8 @@
     return len + PAYLOAD;
 }
 
+/* Time to apply a complete table, its memory and its size on the wire, by the
+ * number of services. */
 static void
 measure_tables(void)
 {
@@ -130,7 +133,8 @@
     }
 }
 
-/* The balancer's decision alone, by members of the service. */
+/* The balancer's routing decision without sockets, by the number of members of
+ * the service. */
 static void
 measure_route(void)
 {
@@ -178,8 +182,8 @@
     return agent;
 }
 
-/* An agent's decision on packets of open flows, and the flow table's bytes,
- * by flows held. */
+/* An agent's decision on packets of open flows, and the flow table's size, by
+ * the number of flows. */
 static void
 measure_agent(void)
 {
@@ -204,7 +208,8 @@
                                    .has_chain = true,
                                    .tag = {1, 1, 1},
                                    .chain = {.count = 1, .visited = 1}};
-        /* The host speaks first: the agent learns each flow from it. */
+        /* The host sends the first packet of each flow, which adds the flow to
+         * the agent's table. */
         for (unsigned j = 0; j < sizes[i]; j++) {
             make_packet(bytes, 0, j, RP_TCP_ACK);
             RpPacket_Parse(bytes, 40 + PAYLOAD, &packet, &reason);
@@ -234,11 +239,11 @@
     RpTable_Free(table);
 }
 
-/* What arrives at a relay goes on to the sink. */
+/* Forwards each datagram to the sink. */
 struct relay {
     struct rp_udp *udp;
     struct rp_endpoint sink;
-    const struct rp_table *table; /* NULL: forwards as it is */
+    const struct rp_table *table; /* NULL: forwards datagrams unchanged */
     struct rp_counters counters;
 };
 
@@ -288,7 +293,8 @@
     return fd;
 }
 
-/* CPU time that a relay takes for a datagram, sockets included. */
+/* Returns a relay's processor time per datagram in nanoseconds, including its
+ * socket calls. Without a table the relay only forwards: the lower bound. */
 static double
 run_relay(const struct rp_table *table)
 {
@@ -296,7 +302,7 @@
     struct rp_endpoint in;
     struct rp_endpoint ignored;
     uint8_t datagram[1024];
-    uint8_t waste[2048];
+    uint8_t discarded[2048];
     int64_t spent = 0;
     uint64_t carried = 0;
 
@@ -319,7 +325,7 @@
         int64_t start = now_ns();
         g_main_context_iteration(NULL, FALSE);
         spent += now_ns() - start;
-        while (recv(sink, waste, sizeof waste, 0) > 0) {
+        while (recv(sink, discarded, sizeof discarded, 0) > 0) {
             carried++;
         }
     }
@@ -358,11 +364,13 @@
                                      .incarnation = 1,
                                      .sequence = sequence,
                                      .lease_ms = 2000};
-    name_it(&news->upstream, "upstream", number);
-    name_it(&news->service, "service", number * 4600 / 18000);
-    name_it(&news->zone, "zone", number % 21);
+    set_numbered_name(&news->upstream, "upstream", number);
+    set_numbered_name(&news->service, "service", number * 4600 / 18000);
+    set_numbered_name(&news->zone, "zone", number % 21);
 }
 
+/* Time of a lease renewal, memory and message size, by the number of
+ * upstreams. */
 static void
 measure_registry(void)
 {
@@ -381,7 +389,7 @@
         int64_t start = now_ns();
         for (unsigned j = 0; j < sizes[i]; j++) {
             msg.announce.sequence++;
-            name_it(&msg.announce.upstream, "upstream", j);
+            set_numbered_name(&msg.announce.upstream, "upstream", j);
             RpRegistry_Merge(registry, 0, &msg.announce, NULL);
         }
         double each = (double)(now_ns() - start) / sizes[i];
@@ -411,7 +419,7 @@
 }
 
 static void
-apply_document(struct rp_catalog *catalog, unsigned number, uint8_t salt)
+apply_document(struct rp_catalog *catalog, unsigned number, uint8_t id_byte)
 {
     struct rp_msg_change change = {.kind = RP_CHANGE_APPLY};
     gchar *text = g_strdup_printf(
@@ -419,7 +427,7 @@
         number / 250, number % 250 + 1);
 
     memcpy(change.id, &number, sizeof number);
-    change.id[8] = salt;
+    change.id[8] = id_byte;
     change.document = g_string_new(text);
     GString *command = RpCatalog_EncodeChange(&change);
     RpCatalog_Apply(catalog,
@@ -430,8 +438,8 @@
     g_free(text);
 }
 
-/* One control instance with its share of the nodes: CPU time and bytes of a
- * configuration change, of a node that joins, and of a data centre lost. */
+/* One control instance: processor time and bytes sent for a configuration
+ * change, for a node that joins, and for the loss of a data centre. */
 static void
 measure_distribution(void)
 {
@@ -455,12 +463,12 @@
         for (unsigned j = 0; j < hosts; j++) {
             struct rp_msg_announce news;
             fill_announce(&news, j, 1);
-            name_it(&news.service, "service",
-                    (unsigned)((uint64_t)j * sizes[i] / hosts));
+            set_numbered_name(&news.service, "service",
+                              (unsigned)((uint64_t)j * sizes[i] / hosts));
             RpRegistry_Merge(registry, now, &news, NULL);
         }
         RpDistribution_SetFresh(distribution, now, true);
-        name_it(&hello.name, "balancer", 1);
+        set_numbered_name(&hello.name, "balancer", 1);
         RpDistribution_Subscribe(distribution, now, 1, &hello, &all);
         sent_bytes = 0;
         start = now_ns();
@@ -472,7 +480,7 @@
         sent_bytes = 0;
         now += RP_US_PER_SECOND;
         apply_document(catalog, 1, 2);
-        name_it(&service, "service", 1);
+        set_numbered_name(&service, "service", 1);
         RpDistribution_Touch(distribution, now, &service);
         now += RP_TABLE_BATCH_US;
         start = now_ns();
@@ -480,10 +488,10 @@
         double change_us = (double)(now_ns() - start) / 1000;
         uint64_t change_bytes = sent_bytes;
 
-        /* One of 21 data centres is lost: each service there has changed. */
+        /* The loss of one of 21 data centres changes each service there. */
         sent_bytes = 0;
         for (unsigned j = 0; j < sizes[i]; j += 21) {
-            name_it(&service, "service", j);
+            set_numbered_name(&service, "service", j);
             RpDistribution_Touch(distribution, now, &service);
         }
         now += RP_TABLE_BATCH_US;
@@ -504,9 +512,8 @@
     }
 }
 
-/* A frame through both ends of a session. */
-/* An edition of `count` virtual addresses, four to a service; the first one
- * has the given timeout. */
+/* Builds an edition of `count` virtual addresses, four for each service. The
+ * first address has the given timeout. */
 static void
 build_edition(struct rp_edition *edition, unsigned count, uint64_t version,
               uint32_t timeout_ms)
@@ -525,19 +532,19 @@
             .timeout_ms = i == 0 ? timeout_ms : 1500,
             .target_ms = 250,
             .targets = RpSchema_NewList(&rp_edition_target_schema)};
-        name_it(&target.service, "service", i / 4);
+        set_numbered_name(&target.service, "service", i / 4);
         g_array_append_val(vip.targets, target);
         g_array_append_val(edition->vips, vip);
         if (i % 4 == 0) {
             service.name = target.service;
             g_array_append_val(edition->services, service);
         }
-        /* As much text as the users' configurations have for a route. */
+        /* The users' configurations have about this much text per route. */
         g_string_append_printf(edition->content, "%0240u", i);
     }
 }
 
-/* Applies an edition; returns its size in the log. */
+/* Builds and applies an edition. Returns its size in the log in bytes. */
 static size_t
 apply_edition(struct rp_catalog *catalog, unsigned count, uint64_t version,
               uint32_t timeout_ms)
@@ -555,8 +562,8 @@
     return len;
 }
 
-/* One control instance and one balancer: processor time and bytes of an
- * edition that differs in one virtual address, and of a balancer that
+/* One control instance and one balancer: processor time and bytes sent for an
+ * edition that differs in one virtual address, and for a balancer that
  * joins. */
 static void
 measure_editions(void)
@@ -573,7 +580,7 @@
         int64_t now = RP_US_PER_SECOND;
         apply_edition(catalog, sizes[i], 1, 1500);
         RpDistribution_SetFresh(distribution, now, true);
-        name_it(&hello.name, "balancer", 1);
+        set_numbered_name(&hello.name, "balancer", 1);
         RpDistribution_Subscribe(distribution, now, 1, &hello, &all);
         sent_bytes = 0;
         int64_t start = now_ns();
@@ -601,6 +608,7 @@
     }
 }
 
+/* Sends frames through both ends of a session, by body size. */
 static void
 measure_session(void)
 {
--- a/tests/measure/flow_model.c
+++ b/tests/measure/flow_model.c
@@ -1,38 +1,38 @@
-/* One request a flow: a flow is placed when it opens, and its request
- * follows one round trip later. */
+/* Placement model with one request per flow: a flow is placed when it opens,
+ * and its request arrives at the host one round trip later. */
 #include <string.h>
 
 #include "heap.h"
 #include "model.h"
 #include "rp_admission.h"
 
-#define REPORT_PERIOD_US 500000 /* of the lagging load reports */
-#define RESERVE_US 100000       /* a slot is kept this long for a request */
+#define REPORT_PERIOD_US 500000 /* between two load reports of a host */
+#define RESERVE_US 100000       /* a slot stays reserved this long */
 
 enum event_kind {
     EV_ARRIVE, /* a caller opens a flow */
-    EV_OFFER,  /* its SYN is at a candidate */
-    EV_DATA,   /* its request is at the host */
-    EV_DONE,   /* the host has served it */
+    EV_OFFER,  /* its SYN arrives at a candidate */
+    EV_DATA,   /* its request arrives at the host */
+    EV_DONE,   /* the host finishes its request */
     EV_REPORT  /* hosts report their load */
 };
 
 enum policy {
-    POLICY_IDEAL,       /* one queue for all hosts, in order */
-    POLICY_IDEAL_SHORT, /* the same, short work first */
-    POLICY_COMMIT,      /* knows all loads at once, but must place at once */
-    POLICY_HASH,
-    POLICY_REPORT1, /* the least loaded by lagging reports */
-    POLICY_REPORT2, /* the better one of two by lagging reports */
-    POLICY_BOUND2,
+    POLICY_IDEAL,       /* one FIFO queue for all hosts */
+    POLICY_IDEAL_SHORT, /* the same, short requests first */
+    POLICY_COMMIT,      /* knows all current loads; must place on arrival */
+    POLICY_HASH,        /* the first candidate, whatever its load */
+    POLICY_REPORT1,     /* the least loaded host by the last reports */
+    POLICY_REPORT2,     /* the less loaded of two by the last reports */
+    POLICY_BOUND2,      /* bounded load, 2 candidates */
     POLICY_BOUND3,
-    POLICY_ADAPT3, /* the bound follows the host's own mean load */
-    POLICY_LEAST2,
+    POLICY_ADAPT3, /* bounded by the host's own mean load */
+    POLICY_LEAST2, /* the least loaded of 2 candidates */
     POLICY_LEAST3,
     POLICY_LEAST5,
     POLICY_LEAST_ALL,
-    POLICY_LEAST_ALL_LATE, /* counts a slot only from the request on */
-    POLICY_ASK_ALL,        /* asks every candidate before it places */
+    POLICY_LEAST_ALL_LATE, /* counts a slot only once the request arrives */
+    POLICY_ASK_ALL,        /* asks every candidate first, for one round trip */
     POLICY_COUNT
 };
 
@@ -43,25 +43,25 @@
     "least-all",  "least-all-late",    "ask-all",      NULL};
 
 struct request {
-    int64_t arrived;
-    int64_t data;
-    int64_t service;
-    int64_t hops; /* time lost on the way between candidates */
+    int64_t arrived; /* time of the SYN */
+    int64_t data;    /* time at which the request arrives at the host */
+    int64_t service; /* service time on a host of normal speed */
+    int64_t hops;    /* total delay between candidates */
     bool is_long;
     uint32_t host;
-    uint32_t chain[MAX_HOSTS];
-    uint32_t position;
-    uint32_t best;
+    uint32_t chain[MAX_HOSTS]; /* candidates in order */
+    uint32_t position;         /* of the current candidate in `chain` */
+    uint32_t best;             /* the least loaded host that passed it on */
     uint8_t best_share;
-    bool forced;
+    bool forced; /* sent back to `best`, which must admit it */
 };
 
 struct host {
-    GQueue queue; /* of request numbers */
+    GQueue queue; /* of request indexes */
     uint32_t serving;
-    uint32_t counted; /* as the agent counts: reserved, queued, served */
-    uint32_t reported;
-    double mean;
+    uint32_t counted;  /* the agent's count: reserved, queued, in service */
+    uint32_t reported; /* `counted` at the last report */
+    double mean;       /* moving average of `counted` */
 };
 
 struct model {
@@ -71,7 +71,7 @@
     GRand *dice;
     GArray *requests; /* of struct request */
     struct host hosts[MAX_HOSTS];
-    GQueue shared_short; /* of the ideal schedulers */
+    GQueue shared_short; /* queues of the ideal policies */
     GQueue shared_long;
     struct balance balance;
     struct outcome *outcome;
@@ -79,11 +79,12 @@
 };
 
 static struct request *
-request_of(struct model *model, uint32_t number)
+get_request(struct model *model, uint32_t number)
 {
     return &g_array_index(model->requests, struct request, number);
 }
 
+/* The number of candidates that the policy asks. */
 static uint32_t
 chain_length(const struct model *model)
 {
@@ -134,7 +135,7 @@
 static void
 start_service(struct model *model, uint32_t number, uint32_t host, int64_t now)
 {
-    struct request *request = request_of(model, number);
+    struct request *request = get_request(model, number);
     int64_t service = slowed(model->scene, host, request->service, now);
 
     request->host = host;
@@ -151,9 +152,9 @@
            model->policy == POLICY_IDEAL_SHORT;
 }
 
-/* The host with the most free slots, or -1. */
+/* Returns the host with the most free slots; -1 if all slots are busy. */
 static int
-freest_host(const struct model *model)
+find_freest_host(const struct model *model)
 {
     int best = -1;
 
@@ -168,11 +169,11 @@
 }
 
 static void
-serve_shared(struct model *model, int64_t now)
+start_from_shared_queue(struct model *model, int64_t now)
 {
     int host;
 
-    while ((host = freest_host(model)) >= 0) {
+    while ((host = find_freest_host(model)) >= 0) {
         GQueue *queue = model->shared_short.length ? &model->shared_short
                                                    : &model->shared_long;
         if (queue->length == 0) {
@@ -184,7 +185,7 @@
 }
 
 static void
-serve_host(struct model *model, uint32_t host, int64_t now)
+start_from_host_queue(struct model *model, uint32_t host, int64_t now)
 {
     struct host *self = &model->hosts[host];
 
@@ -195,9 +196,9 @@
 }
 
 static void
-admit(struct model *model, uint32_t number, uint32_t host, int64_t now)
+admit_flow(struct model *model, uint32_t number, uint32_t host, int64_t now)
 {
-    struct request *request = request_of(model, number);
+    struct request *request = get_request(model, number);
 
     request->host = host;
     request->data = now + model->scene->round_trip_us;
@@ -208,8 +209,8 @@
 }
 
 static uint32_t
-least_reported(const struct model *model, const struct request *request,
-               uint32_t choices)
+find_least_reported(const struct model *model, const struct request *request,
+                    uint32_t choices)
 {
     uint32_t best = request->chain[0];
 
@@ -223,7 +224,7 @@
 }
 
 static uint32_t
-least_counted(const struct model *model, const struct request *request)
+find_least_counted(const struct model *model, const struct request *request)
 {
     uint32_t best = request->chain[0];
 
@@ -236,10 +237,10 @@
     return best;
 }
 
-/* The verdict of the policies that exist in this tool only. */
+/* The decision of POLICY_ADAPT3, which exists only in this model. */
 static enum rp_verdict
-adaptive_verdict(struct model *model, uint32_t host,
-                 const struct rp_load *load)
+decide_adaptively(struct model *model, uint32_t host,
+                  const struct rp_load *load)
 {
     struct host *self = &model->hosts[host];
     double bound = MAX((double)load->slots, self->mean * 1.1);
@@ -249,10 +250,12 @@
                                             : RP_VERDICT_PASS;
 }
 
+/* The candidate at `position` decides on a flow: it admits the flow, passes it
+ * to the next candidate, or sends it back to the least loaded one. */
 static void
-offer(struct model *model, uint32_t number, int64_t now)
+offer_flow(struct model *model, uint32_t number, int64_t now)
 {
-    struct request *request = request_of(model, number);
+    struct request *request = get_request(model, number);
     uint32_t host = request->chain[request->position];
     uint32_t length = chain_length(model);
     const struct rp_load load = {.slots = model->scene->slots,
@@ -266,13 +269,13 @@
     uint32_t next;
 
     if (model->policy == POLICY_ADAPT3) {
-        verdict = adaptive_verdict(model, host, &load);
+        verdict = decide_adaptively(model, host, &load);
     }
     else if (!request->forced) {
         verdict = RpAdmission_Decide(model->admission, &load, &reason);
     }
     if (verdict == RP_VERDICT_TAKE) {
-        admit(model, number, host, now);
+        admit_flow(model, number, host, now);
         return;
     }
     if (verdict == RP_VERDICT_BACK) {
@@ -298,50 +301,51 @@
 }
 
 static void
-place(struct model *model, uint32_t number, int64_t now)
+place_request(struct model *model, uint32_t number, int64_t now)
 {
-    struct request *request = request_of(model, number);
+    struct request *request = get_request(model, number);
 
     switch (model->policy) {
     case POLICY_IDEAL:
         request->data = now;
         g_queue_push_tail(&model->shared_short, GUINT_TO_POINTER(number));
-        serve_shared(model, now);
+        start_from_shared_queue(model, now);
         break;
     case POLICY_IDEAL_SHORT:
         request->data = now;
         g_queue_push_tail(request->is_long ? &model->shared_long
                                            : &model->shared_short,
                           GUINT_TO_POINTER(number));
-        serve_shared(model, now);
+        start_from_shared_queue(model, now);
         break;
     case POLICY_COMMIT:
-        request->host = least_counted(model, request);
+        request->host = find_least_counted(model, request);
         request->data = now;
         model->hosts[request->host].counted++;
         heap_push(&model->heap, now, EV_DATA, number, request->host);
         break;
     case POLICY_HASH:
-        admit(model, number, request->chain[0], now);
+        admit_flow(model, number, request->chain[0], now);
         break;
     case POLICY_REPORT1:
-        admit(model, number,
-              least_reported(model, request, model->scene->hosts), now);
+        admit_flow(model, number,
+                   find_least_reported(model, request, model->scene->hosts),
+                   now);
         break;
     case POLICY_REPORT2:
-        admit(model, number, least_reported(model, request, 2), now);
+        admit_flow(model, number, find_least_reported(model, request, 2), now);
         break;
     case POLICY_ASK_ALL:
         request->hops = 2 * model->scene->zone_hop_us;
-        admit(model, number, least_counted(model, request), now);
+        admit_flow(model, number, find_least_counted(model, request), now);
         break;
     default:
-        offer(model, number, now);
+        offer_flow(model, number, now);
     }
 }
 
 static void
-arrive(struct model *model, int64_t now)
+handle_arrival(struct model *model, int64_t now)
 {
     struct request request = {.arrived = now, .best_share = RP_SHARE_MAX};
     int64_t next = next_arrival(model->scene, model->dice, now);
@@ -353,23 +357,23 @@
     if (next < RUN_US) {
         heap_push(&model->heap, next, EV_ARRIVE, 0, 0);
     }
-    place(model, model->requests->len - 1, now);
+    place_request(model, model->requests->len - 1, now);
 }
 
 static void
-finish(struct model *model, uint32_t host, int64_t now)
+finish_service(struct model *model, uint32_t host, int64_t now)
 {
     set_busy(model, host, model->hosts[host].serving - 1, now);
     if (is_ideal(model)) {
-        serve_shared(model, now);
+        start_from_shared_queue(model, now);
         return;
     }
     model->hosts[host].counted--;
-    serve_host(model, host, now);
+    start_from_host_queue(model, host, now);
 }
 
 static void
-report(struct model *model, int64_t now)
+report_loads(struct model *model, int64_t now)
 {
     for (uint32_t i = 0; i < model->scene->hosts; i++) {
         model->hosts[i].reported = model->hosts[i].counted;
@@ -383,29 +387,29 @@
 }
 
 static void
-handle(struct model *model, const struct event *event)
+handle_event(struct model *model, const struct event *event)
 {
     struct host *host = &model->hosts[event->detail];
 
     switch ((enum event_kind)event->kind) {
     case EV_ARRIVE:
-        arrive(model, event->time);
+        handle_arrival(model, event->time);
         break;
     case EV_OFFER:
-        offer(model, event->subject, event->time);
+        offer_flow(model, event->subject, event->time);
         break;
     case EV_DATA:
         if (model->policy == POLICY_LEAST_ALL_LATE) {
             host->counted++;
         }
         g_queue_push_tail(&host->queue, GUINT_TO_POINTER(event->subject));
-        serve_host(model, event->detail, event->time);
+        start_from_host_queue(model, event->detail, event->time);
         break;
     case EV_DONE:
-        finish(model, event->detail, event->time);
+        finish_service(model, event->detail, event->time);
         break;
     case EV_REPORT:
-        report(model, event->time);
+        report_loads(model, event->time);
         break;
     }
 }
@@ -428,7 +432,7 @@
     heap_push(&model.heap, 0, EV_REPORT, 0, 0);
     heap_push(&model.heap, 1, EV_ARRIVE, 0, 0);
     while (heap_pop(&model.heap, &event)) {
-        handle(&model, &event);
+        handle_event(&model, &event);
     }
     outcome->imbalance = balance_result(&model.balance);
     RpAdmission_Free(model.admission);
--- a/tests/measure/heap.c
+++ b/tests/measure/heap.c
@@ -1,11 +1,12 @@
+/* The event queue: a binary heap ordered by time, then by insertion. */
 #include "heap.h"
 
 #include <glib.h>
 
-#define FIRST_ROOM 1024
+#define FIRST_CAPACITY 1024
 
 static bool
-before(const struct event *a, const struct event *b)
+is_earlier(const struct event *a, const struct event *b)
 {
     return a->time < b->time || (a->time == b->time && a->order < b->order);
 }
@@ -15,7 +16,7 @@
           uint32_t detail)
 {
     if (heap->count == heap->room) {
-        heap->room = heap->room ? heap->room * 2 : FIRST_ROOM;
+        heap->room = heap->room ? heap->room * 2 : FIRST_CAPACITY;
         heap->events = g_renew(struct event, heap->events, heap->room);
     }
     struct event event = {.time = time,
@@ -24,7 +25,7 @@
                           .subject = subject,
                           .detail = detail};
     size_t place = heap->count++;
-    while (place > 0 && before(&event, &heap->events[(place - 1) / 2])) {
+    while (place > 0 && is_earlier(&event, &heap->events[(place - 1) / 2])) {
         heap->events[place] = heap->events[(place - 1) / 2];
         place = (place - 1) / 2;
     }
@@ -46,10 +47,10 @@
             break;
         }
         if (child + 1 < heap->count &&
-            before(&heap->events[child + 1], &heap->events[child])) {
+            is_earlier(&heap->events[child + 1], &heap->events[child])) {
             child++;
         }
-        if (!before(&heap->events[child], &last)) {
+        if (!is_earlier(&heap->events[child], &last)) {
             break;
         }
         heap->events[place] = heap->events[child];
--- a/tests/measure/model.c
+++ b/tests/measure/model.c
@@ -1,36 +1,39 @@
+/* Scenarios, arrivals, service times and statistics of the placement
+ * models. */
 #include "model.h"
 
 #include <math.h>
 #include <stdio.h>
 #include <stdlib.h>
 
-#define PERIOD_US INT64_C(10000000)
+#define PEAK_PERIOD_US INT64_C(10000000)
 #define CREST_FROM_US INT64_C(6000000)
 #define CREST_TO_US INT64_C(8500000)
 #define SAME_ZONE_HOP_US 200
 #define COLD_FACTOR 4
 #define US_PER_MS 1000.0
 
-#define OCHELARI .zones = 3, .zone_hop_us = 1500, .round_trip_us = 2000
-#define SPELEO .zones = 4, .zone_hop_us = 1000, .round_trip_us = 6000
-#define DEMAND .base_load = 0.25, .crest_load = 0.85, .long_share = 0.01
+/* Networks and demand that several scenarios share. */
+#define THREE_ZONES .zones = 3, .zone_hop_us = 1500, .round_trip_us = 2000
+#define FOUR_ZONES .zones = 4, .zone_hop_us = 1000, .round_trip_us = 6000
+#define DEMAND_85 .base_load = 0.25, .crest_load = 0.85, .long_share = 0.01
 
 const struct scene scenes[] = {
-    {.name = "lens-desk", .hosts = 7, .slots = 7, OCHELARI, DEMAND},
-    {.name = "photo-shelf", .hosts = 3, .slots = 7, OCHELARI, DEMAND},
-    {.name = "nacrt-live", .hosts = 7, .slots = 3, SPELEO, DEMAND},
-    {.name = "arhiv-listova", .hosts = 4, .slots = 3, SPELEO, DEMAND},
+    {.name = "lens-desk", .hosts = 7, .slots = 7, THREE_ZONES, DEMAND_85},
+    {.name = "photo-shelf", .hosts = 3, .slots = 7, THREE_ZONES, DEMAND_85},
+    {.name = "nacrt-live", .hosts = 7, .slots = 3, FOUR_ZONES, DEMAND_85},
+    {.name = "arhiv-listova", .hosts = 4, .slots = 3, FOUR_ZONES, DEMAND_85},
     {.name = "lens-desk-70",
      .hosts = 7,
      .slots = 7,
-     OCHELARI,
+     THREE_ZONES,
      .base_load = 0.25,
      .crest_load = 0.70,
      .long_share = 0.01},
     {.name = "lens-desk-slow",
      .hosts = 7,
      .slots = 7,
-     OCHELARI,
+     THREE_ZONES,
      .base_load = 0.25,
      .crest_load = 0.70,
      .long_share = 0.01,
@@ -38,7 +41,7 @@
     {.name = "lens-desk-cold",
      .hosts = 7,
      .slots = 7,
-     OCHELARI,
+     THREE_ZONES,
      .base_load = 0.25,
      .crest_load = 0.70,
      .long_share = 0.01,
@@ -46,7 +49,7 @@
     {.name = "lens-desk-lies",
      .hosts = 7,
      .slots = 7,
-     OCHELARI,
+     THREE_ZONES,
      .base_load = 0.25,
      .crest_load = 0.70,
      .long_share = 0.01,
@@ -74,7 +77,7 @@
 bool
 is_crest(int64_t now)
 {
-    int64_t phase = now % PERIOD_US;
+    int64_t phase = now % PEAK_PERIOD_US;
 
     return now >= WARM_UP_US && phase >= CREST_FROM_US && phase < CREST_TO_US;
 }
@@ -95,7 +98,7 @@
 
     for (;;) {
         now += (int64_t)(-log(1 - g_rand_double(dice)) / top) + 1;
-        int64_t phase = now % PERIOD_US;
+        int64_t phase = now % PEAK_PERIOD_US;
         bool crest = phase >= CREST_FROM_US && phase < CREST_TO_US;
         if (crest || g_rand_double(dice) < base_share) {
             return now;
@@ -199,7 +202,7 @@
 }
 
 static int
-compare_times(gconstpointer a, gconstpointer b)
+compare_waits(gconstpointer a, gconstpointer b)
 {
     int64_t left = *(const int64_t *)a;
     int64_t right = *(const int64_t *)b;
@@ -207,7 +210,7 @@
     return (left > right) - (left < right);
 }
 
-/* The value below which a share of a sorted array lies, in ms. */
+/* Returns the quantile `share` (0 to 1) of a sorted array, in milliseconds. */
 static double
 quantile(const GArray *sorted, double share)
 {
@@ -222,9 +225,9 @@
 struct summary
 summarise(struct outcome *outcome)
 {
-    g_array_sort(outcome->crest_waits, compare_times);
-    g_array_sort(outcome->waits, compare_times);
-    g_array_sort(outcome->long_waits, compare_times);
+    g_array_sort(outcome->crest_waits, compare_waits);
+    g_array_sort(outcome->waits, compare_waits);
+    g_array_sort(outcome->long_waits, compare_waits);
     return (struct summary){.p50 = quantile(outcome->crest_waits, 0.50),
                             .p99 = quantile(outcome->crest_waits, 0.99),
                             .p999 = quantile(outcome->crest_waits, 0.999),
--- a/tests/measure/pinned_model.c
+++ b/tests/measure/pinned_model.c
@@ -1,21 +1,22 @@
-/* Requests on long-lived connections: the connection is placed, the request
- * is not. What is left is the order in which a host's requests go in. */
+/* Placement model for requests on long-lived connections. A connection stays
+ * on its host, so the policies can only choose the order in which a host gets
+ * its requests. */
 #include "heap.h"
 #include "model.h"
 #include "rp_gate.h"
 
-#define LONG_CONNECTIONS 0.02 /* share of connections for long work */
+#define LONG_CONNECTIONS 0.02 /* share of connections with long requests */
 
 enum event_kind { EV_ARRIVE, EV_DONE, EV_HOLD_OVER };
 
 enum policy {
-    POLICY_IDEAL,       /* any host, short work first: not pinned */
-    POLICY_FIFO,        /* the host's own queue */
-    POLICY_SHORT_FIRST, /* gate without a cap, believed class */
-    POLICY_CAP_70,      /* gate; long work in 70% of the slots */
+    POLICY_IDEAL,       /* any host, short requests first: not pinned */
+    POLICY_FIFO,        /* the host's own FIFO queue */
+    POLICY_SHORT_FIRST, /* gate without a cap, predicted class */
+    POLICY_CAP_70,      /* gate; long requests get 70% of the slots */
     POLICY_CAP_50,
     POLICY_CAP_30,
-    POLICY_KNOWING_50, /* as CAP_50, the class known beforehand */
+    POLICY_KNOWN_50, /* as CAP_50, but the class is known in advance */
     POLICY_COUNT
 };
 
@@ -28,7 +29,7 @@
     int64_t service;
     uint32_t host;
     bool is_long;
-    bool believed_long;
+    bool predicted_long;
 };
 
 struct model {
@@ -39,10 +40,10 @@
     GArray *requests;
     struct rp_gate *gates[MAX_HOSTS];
     uint32_t serving[MAX_HOSTS];
-    GQueue queues[MAX_HOSTS]; /* inside the hosts */
+    GQueue queues[MAX_HOSTS]; /* the hosts' own queues, of request indexes */
     struct balance balance;
     struct outcome *outcome;
-    bool mixed; /* any connection may ask for long work */
+    bool mixed; /* any connection may have long requests */
 };
 
 static uint32_t
@@ -54,7 +55,7 @@
     case POLICY_CAP_70:
         return MAX(slots * 70 / 100, 1);
     case POLICY_CAP_50:
-    case POLICY_KNOWING_50:
+    case POLICY_KNOWN_50:
         return MAX(slots * 50 / 100, 1);
     case POLICY_CAP_30:
         return MAX(slots * 30 / 100, 1);
@@ -64,19 +65,19 @@
 }
 
 static struct request *
-request_of(struct model *model, uint32_t number)
+get_request(struct model *model, uint32_t number)
 {
     return &g_array_index(model->requests, struct request, number);
 }
 
 static void
-serve(struct model *model, uint32_t host, int64_t now)
+start_from_host_queue(struct model *model, uint32_t host, int64_t now)
 {
     GQueue *queue = &model->queues[host];
 
     while (model->serving[host] < model->scene->slots && queue->length) {
         uint32_t number = GPOINTER_TO_UINT(g_queue_pop_head(queue));
-        struct request *request = request_of(model, number);
+        struct request *request = get_request(model, number);
         int64_t service = slowed(model->scene, host, request->service, now);
         model->serving[host]++;
         balance_set(&model->balance, model->scene, now, host,
@@ -88,39 +89,39 @@
 }
 
 static void
-go_in(struct model *model, uint32_t number, int64_t now)
+enqueue_at_host(struct model *model, uint32_t number, int64_t now)
 {
-    uint32_t host = request_of(model, number)->host;
+    uint32_t host = get_request(model, number)->host;
 
     g_queue_push_tail(&model->queues[host], GUINT_TO_POINTER(number));
-    serve(model, host, now);
+    start_from_host_queue(model, host, now);
 }
 
 static void
-let_next_in(struct model *model, uint32_t host, int64_t now)
+admit_from_gate(struct model *model, uint32_t host, int64_t now)
 {
     struct rp_flow_key caller;
     bool is_long;
 
     while (RpGate_Next(model->gates[host], now, &caller, &is_long)) {
-        go_in(model, caller.src_ip, now);
+        enqueue_at_host(model, caller.src_ip, now);
     }
 }
 
-/* Whether the agent believes that this request is long. It has seen the
- * connection's earlier answers, so it knows connections that are there for
- * long work; on mixed connections it has nothing to go by. */
+/* Returns whether the agent predicts that this request is long. The agent has
+ * seen the connection's earlier answers, so it recognises connections with
+ * long requests; on mixed connections it cannot tell and predicts short. */
 static bool
-believes_long(const struct model *model, const struct request *request)
+predict_long(const struct model *model, const struct request *request)
 {
-    if (model->policy == POLICY_KNOWING_50) {
+    if (model->policy == POLICY_KNOWN_50) {
         return request->is_long;
     }
     return !model->mixed && request->is_long;
 }
 
 static uint32_t
-idlest(const struct model *model)
+find_least_loaded_host(const struct model *model)
 {
     uint32_t best = 0;
 
@@ -135,7 +136,7 @@
 }
 
 static void
-arrive(struct model *model, int64_t now)
+handle_arrival(struct model *model, int64_t now)
 {
     struct request request = {.arrived = now};
     int64_t next = next_arrival(model->scene, model->dice, now);
@@ -145,23 +146,23 @@
                                               (gint32)model->scene->hosts);
     request.is_long = g_rand_double(model->dice) < model->scene->long_share;
     request.service = draw_service(model->scene, model->dice, request.is_long);
-    request.believed_long = believes_long(model, &request);
+    request.predicted_long = predict_long(model, &request);
     if (model->policy == POLICY_IDEAL) {
-        request.host = idlest(model);
-        request.believed_long = request.is_long;
+        request.host = find_least_loaded_host(model);
+        request.predicted_long = request.is_long;
     }
     g_array_append_val(model->requests, request);
     if (next < RUN_US) {
         heap_push(&model->heap, next, EV_ARRIVE, 0, 0);
     }
     if (model->policy == POLICY_FIFO) {
-        go_in(model, number, now);
+        enqueue_at_host(model, number, now);
         return;
     }
     struct rp_flow_key caller = {.src_ip = number, .src_port = 1};
     if (RpGate_Enter(model->gates[request.host], now, caller,
-                     request.believed_long)) {
-        go_in(model, number, now);
+                     request.predicted_long)) {
+        enqueue_at_host(model, number, now);
         return;
     }
     heap_push(&model->heap, now + RP_GATE_HOLD_US, EV_HOLD_OVER, number,
@@ -169,17 +170,18 @@
 }
 
 static void
-finish(struct model *model, uint32_t number, uint32_t host, int64_t now)
+finish_service(struct model *model, uint32_t number, uint32_t host,
+               int64_t now)
 {
     model->serving[host]--;
     balance_set(&model->balance, model->scene, now, host,
                 model->serving[host]);
     if (model->policy != POLICY_FIFO) {
         RpGate_Leave(model->gates[host],
-                     request_of(model, number)->believed_long);
-        let_next_in(model, host, now);
+                     get_request(model, number)->predicted_long);
+        admit_from_gate(model, host, now);
     }
-    serve(model, host, now);
+    start_from_host_queue(model, host, now);
 }
 
 void
@@ -201,13 +203,13 @@
     heap_push(&model.heap, 1, EV_ARRIVE, 0, 0);
     while (heap_pop(&model.heap, &event)) {
         if (event.kind == EV_ARRIVE) {
-            arrive(&model, event.time);
+            handle_arrival(&model, event.time);
         }
         else if (event.kind == EV_DONE) {
-            finish(&model, event.subject, event.detail, event.time);
+            finish_service(&model, event.subject, event.detail, event.time);
         }
         else {
-            let_next_in(&model, event.detail, event.time);
+            admit_from_gate(&model, event.detail, event.time);
         }
     }
     outcome->imbalance = balance_result(&model.balance);
--- a/tests/measure/placement.c
+++ b/tests/measure/placement.c
@@ -1,7 +1,7 @@
-/* Measures placement: every scene under every policy, in virtual time.
+/* Measures placement: simulates every scenario under every policy.
  *
- * placement [SEEDS [each]]: medians over so many seeds, and with "each"
- * the single runs, too. */
+ * placement [SEEDS [each]] prints the medians over SEEDS seeds; with "each" it
+ * prints every single run as well. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
--- a/tests/measure/processes.sh
+++ b/tests/measure/processes.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Measures what idle nodes cost a control instance and themselves: processor
-# time, memory and bytes, on real processes, for several numbers of agents
-# and balancers. Prints one line for each.
+# Measures processor time, memory and traffic of a control instance and of one
+# idle node, on real processes, for several numbers of balancers and agents.
+# Prints one line for each number.
 set -u
 cd "$(dirname "$0")/../.."
 BIN=${BUILD:-build}
@@ -12,11 +12,12 @@
 . tests/system.sh
 trap stop_system EXIT
 
-# ticks PID: processor time so far, in hundredths of a second.
+# ticks PID: processor time of a process, in hundredths of a second.
 ticks() { awk '{print $14 + $15}' "/proc/$1/stat"; }
 rss_kb() { awk '/VmRSS/ {print $2}' "/proc/$1/status"; }
 
-# traffic PORT: bytes sent and received so far by the first connection to it.
+# traffic PORT: bytes sent and received so far, mean of the connections to
+# PORT.
 traffic() {
     ss -tinH "dst 127.0.0.1:$1" | tr ' ' '\n' |
         awk -F: '/^bytes_sent|^bytes_received/ {sum[$1] += $2; n[$1]++}
--- a/tests/measure/run.sh
+++ b/tests/measure/run.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# make measure: prints the figures that the documents quote. SEEDS=N sets
-# how many seeds each placement figure is the median of.
+# make measure: prints the figures that the documents quote. Each placement
+# figure is the median over SEEDS seeds (default 20).
 set -eu
 cd "$(dirname "$0")/../.."
 BUILD=${BUILD:-build}
