--- a/Makefile
+++ b/Makefile
@@ -1,12 +1,14 @@
-# The way in. Every target does its own set-up on a fresh machine.
+# Entry point of the build. Every target first installs missing packages and
+# configures the build, so it works on a fresh machine.
 #
 #   make            build everything into build/
 #   make demo       run the whole system on this machine (KEEP=1 leaves it up)
 #   make test       run every test
-#   make lint       formatter, linters and a build with warnings as errors
-#   make prove      scripted runs on real processes (minutes)
-#   make soak       random faults on real processes (SEEDS=N, a minute each 4)
-#   make measure    print the figures (not part of the tests)
+#   make lint       check the format and run the linters
+#   make prove      scripted runs on real processes (takes minutes)
+#   make soak       random faults on real processes, about one minute per seed
+#                   (SEEDS=N sets the number of seeds, default 4)
+#   make measure    measure placement and cost (not part of the tests)
 #   make install    install under PREFIX (and DESTDIR)
 
 BUILD ?= build
--- a/tests/demo.sh
+++ b/tests/demo.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# make demo: the whole system on this machine, with ordinary TCP requests
-# through it while a balancer is killed. KEEP=1 leaves it running.
+# make demo: starts the whole system on this machine, sends ordinary HTTP
+# requests through it, and kills a balancer meanwhile. No request may fail.
+# KEEP=1 leaves the system running.
 set -u
 cd "$(dirname "$0")/.."
 BIN=${BUILD:-build}
@@ -19,7 +20,7 @@
 }
 
 prepare_run
-say "1 control, $BALANCERS balancers; logs in $RUN/"
+say "1 control instance, $BALANCERS balancers; logs in $RUN/"
 create_system || exit 1
 start_control 0
 for i in 0 1 2; do start_balancer $i; done
@@ -34,17 +35,21 @@
     start_agent photo-shelf $i
 done
 
-say "fabric: any packet to any balancer, loss $LOSS, reordering $REORDER," \
-    "duplication $DUPLICATE permille"
+say "fabric: each packet to a random balancer, loss $LOSS, reordering" \
+    "$REORDER, duplication $DUPLICATE permille"
 start_edge "127.0.0.1:$(service_port 0),127.0.0.1:$(service_port 1)" \
     10.80.0.1:7000,10.80.0.2:7000
 
 say "applying two service documents"
-wait_until 10 cli service list || fail "control does not answer"
-cli service apply "$(document lens-desk 10.80.0.1:7000)" || fail "apply"
-cli service apply "$(document photo-shelf 10.80.0.2:7000)" || fail "apply"
-wait_until 10 has_ready lens-desk 2 || fail "lens-desk has no upstreams"
-wait_until 10 has_ready photo-shelf 2 || fail "photo-shelf has no upstreams"
+wait_until 10 cli service list || fail "control-0 does not answer within 10 s"
+cli service apply "$(document lens-desk 10.80.0.1:7000)" ||
+    fail "service apply of lens-desk failed"
+cli service apply "$(document photo-shelf 10.80.0.2:7000)" ||
+    fail "service apply of photo-shelf failed"
+wait_until 10 has_ready lens-desk 2 ||
+    fail "lens-desk has not 2 ready upstreams"
+wait_until 10 has_ready photo-shelf 2 ||
+    fail "photo-shelf has not 2 ready upstreams"
 cli service list
 
 say "sending $((2 * REQUESTS)) requests over many connections"
@@ -52,12 +57,12 @@
     --targets "127.0.0.1:$(service_port 0),127.0.0.1:$(service_port 1)" \
     --services lens-desk,photo-shelf --connections 20 --per-connection 25
 wait_until 120 grep -q "client: half" "$RUN/client.log" ||
-    fail "the client does not get on"
-say "half way: killing balancer-1"
+    fail "half of the requests are not answered within 120 s"
+say "half of the requests answered: killing balancer-1"
 stop balancer-1 KILL
 noticed() { [ "$(grep -c "balancer 1 unreachable" "$RUN/fabric.log")" -ge 3 ]; }
 wait_until 10 noticed ||
-    fail "the fabric does not notice"
+    fail "the fabric does not report balancer-1 as unreachable"
 wait "${PIDS[client]}"
 unset "PIDS[client]"
 result=$(grep -o 'requests=.*' "$RUN/client.log")
--- a/tests/run-tests.sh
+++ b/tests/run-tests.sh
@@ -1,9 +1,10 @@
 #!/bin/sh
-# Runs every test: unit tests and golden sessions, all in virtual time and by
-# fixed seeds. Prints each failure and one line at the end. The scripted runs
-# on real processes are apart (make prove): their timing is the machine's.
+# Runs the unit tests and golden sessions, all in virtual time with fixed
+# seeds. Prints the result of each test, the output of those that failed, and
+# a summary line. The scripted runs on real processes are not part of it (see
+# make prove), because their timing depends on the machine.
 #
-# UPDATE=1 rewrites the golden files; read the difference before committing.
+# UPDATE=1 rewrites the golden files: read the differences before you commit.
 set -u
 BUILD=${BUILD:-build}
 passed=0
@@ -41,7 +42,8 @@
     fi
 done
 
-# Every finding on bad settings at once, from flags and variables.
+# Invalid settings from flags and environment variables: all errors are
+# reported in one run.
 {
     RADISHPORT_ZONE=Zone "$BUILD/programs/radishportd" agent --slots 0 \
         --lease-ms 1 --listen nowhere --control 127.0.0.1:1,x --service lens \
@@ -59,11 +61,11 @@
     fail "golden settings"
 fi
 
-# Three failed requests, from an id to the cause, by log lines of real runs.
-# The operators' page names the same events.
-while read -r story query; do
+# radishport explain on the log lines of three failed requests in real runs.
+# Below, each event that docs/OPERATIONS.md names must exist in the code.
+while read -r log query; do
     "$BUILD/programs/radishport" explain "$query" \
-        "tests/golden/explain/$story.log"
+        "tests/golden/explain/$log.log"
     echo "exit $?"
 done < tests/golden/explain/queries > "$BUILD/explain.out"
 golden=tests/golden/explain/expected
--- a/tests/runs/bad-input.sh
+++ b/tests/runs/bad-input.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Scripted run: bad input to every port of real processes. Each kind is
-# dropped with a counter of its own, and requests go on.
+# Scripted run on real processes: sends malformed input to every port. Checks
+# that each kind is dropped and counted by its own counter, and that requests
+# still succeed.
 set -u
 cd "$(dirname "$0")/../.."
 BIN=${BUILD:-build}
@@ -15,17 +16,19 @@
     exit 1
 }
 
+# metric ADMIN_PORT NAME: prints the counter radishport_NAME_total.
 metric() {
     curl -s "127.0.0.1:$1/metrics" | sed -n "s/^radishport_$2_total{.*} //p"
 }
 
-# send_udp PORT HEX: one datagram.
+# send_udp PORT HEX: sends one datagram.
 send_udp() {
     printf "$(echo "$2" | sed 's/../\\x&/g')" > "$RUN/datagram"
     cat "$RUN/datagram" > "/dev/udp/127.0.0.1/$1"
 }
 
-# expect PORT ADMIN COUNTER HEX: a datagram that must be counted as that.
+# expect PORT ADMIN_PORT COUNTER HEX: sends a datagram and checks that COUNTER
+# goes up by one.
 expect() {
     local before after
     before=$(metric "$2" "$3")
@@ -43,9 +46,10 @@
 start_host lens-desk 10.80.0.1:7000 0
 start_agent lens-desk 0 --admin "127.0.0.1:$(admin_port 200)"
 start_edge "127.0.0.1:$(service_port 0)" 10.80.0.1:7000
-wait_until 10 cli service list || fail "control does not answer"
-cli service apply "$(document lens-desk 10.80.0.1:7000)" || fail "apply"
-wait_until 10 has_ready lens-desk 1 || fail "upstream not ready"
+wait_until 10 cli service list || fail "control-0 does not answer"
+cli service apply "$(document lens-desk 10.80.0.1:7000)" ||
+    fail "service apply failed"
+wait_until 10 has_ready lens-desk 1 || fail "lens-desk has no ready upstream"
 
 GENEVE=0000080000000000
 IP="4500002800004000400600000a0900010a500001"
@@ -70,30 +74,31 @@
 expect "$(balancer_port 0)" "$(admin_port 100)" drop_unknown_address "$GENEVE$OTHER$TCP"
 expect "$(agent_port 0)" "$(admin_port 200)" drop_wrong_service "$GENEVE$IP$TCP"
 
-say "strangers on the control port"
+say "unauthenticated peers on the control port"
 control=$(control_port 0)
 before=$(metric "$(admin_port 0)" frame_over_limit)
 printf 'GET / HTTP/1.1\r\n\r\n' > "/dev/tcp/127.0.0.1/$control"
 sleep 0.2
 [ "$(metric "$(admin_port 0)" frame_over_limit)" -gt "$before" ] ||
-    fail "an oversized frame was not counted"
+    fail "frame_over_limit did not count an oversized frame"
 head -c 24 /dev/urandom | base64 > "$RUN/wrong-key"
 chmod 600 "$RUN/wrong-key"
 cli service list --key-file "$RUN/wrong-key" --timeout-seconds 2 &&
     fail "a wrong key was accepted"
 [ "$(metric "$(admin_port 0)" frame_bad_mac)" -gt 0 ] ||
-    fail "a wrong key was not counted"
+    fail "frame_bad_mac did not count a wrong key"
 chmod 644 "$RUN/wrong-key"
 cli service list --key-file "$RUN/wrong-key" 2> "$RUN/mode.txt"
-[ $? = 2 ] || fail "a key file that others can read was accepted"
+[ $? = 2 ] || fail "a key file of mode 0644 was accepted"
 exec 9<> "/dev/tcp/127.0.0.1/$control"
 wait_until 6 test "$(metric "$(admin_port 0)" peer_timeout)" -ge 0
 sleep 4
 [ "$(metric "$(admin_port 0)" peer_timeout)" -gt 0 ] ||
-    fail "a silent stranger was kept"
+    fail "an idle unauthenticated connection was not closed"
 exec 9>&-
 
-say "requests go on"
+say "requests still succeed"
 "$BIN/tests/standin-client" --requests 100 --services lens-desk \
-    --targets "127.0.0.1:$(service_port 0)" || fail "requests broke"
+    --targets "127.0.0.1:$(service_port 0)" ||
+    fail "requests failed after the bad input"
 echo "bad-input: every kind counted, nothing broken"
--- a/tests/runs/control.sh
+++ b/tests/runs/control.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Scripted run: three control replicas under kills, freezes, a lost disk and
-# racing operators. No acknowledged change may be lost, reverted or applied
-# twice, and each must be in force on all reachable instances within 7 s.
+# Scripted run on real processes: three control replicas are killed, suspended
+# and lose their data, and two operators make changes at the same time. No
+# acknowledged change may be lost, reverted or applied twice, and each must be
+# in force on all reachable instances within 7 s.
 set -u
 cd "$(dirname "$0")/../.."
 BIN=${BUILD:-build}
@@ -17,9 +18,10 @@
     exit 1
 }
 
+# metric ADMIN_PORT NAME: prints the metric radishport_NAME.
 metric() { curl -s -m 1 "127.0.0.1:$1/metrics" | sed -n "s/^radishport_$2{.*} //p"; }
 
-# leader: the number of the control instance that leads.
+# leader: prints the index of the control instance that leads.
 leader() {
     local i
     for i in 0 1 2; do
@@ -37,7 +39,9 @@
 last_doc=""
 slowest=0
 
-# change SERVICE: one change, acknowledged and in force everywhere.
+# change SERVICE: applies one change and waits until it is in force everywhere.
+# Counts the outcome and checks that an acknowledged revision is newer than the
+# one before.
 change() {
     local n=$((acked + refused + unknown + 1)) file before code out took
     file="$RUN/change.conf"
@@ -53,7 +57,7 @@
         local revision
         revision=$(echo "$out" | tr -d ' \n' | sed -n 's/.*"revision":\([0-9]*\).*/\1/p')
         [ "$revision" -gt "$last_revision" ] ||
-            fail "revision $revision after $last_revision"
+            fail "revision $revision acknowledged after $last_revision"
         last_revision=$revision
         last_doc=$n
         [ "$took" -gt "$slowest" ] && slowest=$took
@@ -64,57 +68,64 @@
     return $code
 }
 
+# check_last: checks that the last acknowledged change is still stored.
 check_last() {
-    cli service get lens-desk > "$RUN/now.conf" || fail "no answer"
+    cli service get lens-desk > "$RUN/now.conf" ||
+        fail "service get lens-desk has no answer"
     grep -q "^# $last_doc\$" "$RUN/now.conf" ||
-        fail "acknowledged change $last_doc is gone: $(tail -1 "$RUN/now.conf")"
+        fail "acknowledged change $last_doc is lost: $(tail -1 "$RUN/now.conf")"
 }
 
 prepare_run
-create_system || fail "create"
+create_system || fail "control-0 cannot create the system"
 for i in 0 1 2; do start_control $i; done
 for i in 0 1 2; do start_balancer $i; done
 for i in 0 1; do
     start_host lens-desk 10.80.0.1:7000 $i
     start_agent lens-desk $i --admin "127.0.0.1:$(admin_port $((200 + i)))"
 done
-wait_until 20 all_fresh || fail "the replicas do not come together"
+wait_until 20 all_fresh ||
+    fail "the replicas are not all up to date within 20 s"
 sleep 2
 say "3 replicas, leader control-$(leader)"
-for i in 1 2 3 4 5; do change lens-desk || fail "change"; done
+for i in 1 2 3 4 5; do
+    change lens-desk || fail "change $i failed"
+done
 
-say "kill -9 of the leader during a stream of changes"
+say "kill -9 of the leader during a series of changes"
 (sleep 0.5; kill -KILL "${PIDS[control-$(leader)]}") &
 killed=$(leader)
 for i in 1 2 3 4 5 6 7 8; do change lens-desk; done
 check_last
 wait "${PIDS[control-$killed]}" 2> /dev/null
 start_control "$killed"
-wait_until 20 all_fresh || fail "control-$killed does not come back"
+wait_until 20 all_fresh || fail "control-$killed is not up to date within 20 s"
 
-say "kill of two of three: no change is taken, nothing is lost"
+say "kill of two of three replicas: no change is accepted, none is lost"
 stop control-1 KILL
 stop control-2 KILL
 sleep 2
 cli service apply "$RUN/change.conf" --timeout-seconds 3 > "$RUN/none.txt" 2>&1
-[ $? = 4 ] || fail "without a quorum somebody answered for the base"
+[ $? = 4 ] || fail "an instance without a quorum gave the current revision"
 cli service apply "$RUN/change.conf" --base 1 --timeout-seconds 3 \
     > "$RUN/none.txt" 2>&1
-[ $? = 3 ] || fail "a change without a quorum did not end as unknown"
-say "an agent replaced meanwhile still serves its host's flows"
+[ $? = 3 ] || fail "a change without a quorum did not end with exit code 3"
+say "an agent replaced without a quorum still serves its host's flows"
 stop agent-0 USR2
 start_agent lens-desk 0 --admin "127.0.0.1:$(admin_port 200)"
 serves() { [ "$(curl -s "127.0.0.1:$(admin_port 200)/healthz")" = ok ]; }
-wait_until 10 serves || fail "the new agent has no table"
+wait_until 10 serves || fail "the new agent has no table within 10 s"
 start_control 1
 start_control 2
-wait_until 20 all_fresh || fail "the quorum does not come back"
-# The unknown one may have been taken meanwhile; it does not count.
+wait_until 20 all_fresh ||
+    fail "the replicas are not up to date after the quorum loss"
+# The change whose outcome is unknown may have been applied in the meantime. It
+# is not counted.
 last_revision=$(metric "$(admin_port "$(leader)")" revision)
 for i in 1 2 3; do change lens-desk; done
 check_last
 
-say "freeze of the leader, then of a follower"
+say "suspending the leader, then a follower"
 frozen=$(leader)
 kill -STOP "${PIDS[control-$frozen]}"
 for i in 1 2 3; do change lens-desk; done
@@ -127,26 +138,30 @@
 kill -CONT "${PIDS[control-$follower]}"
 check_last
 
-say "a lost data folder: the replica comes back as a new one"
-wait_until 20 all_fresh || fail "not fresh after the freeze"
+say "a lost data folder: the replica rejoins as a new one"
+wait_until 20 all_fresh ||
+    fail "the replicas are not up to date after the suspension"
 lost=$((($(leader) + 1) % 3))
 stop "control-$lost" KILL
 rm -rf "${RUN:?}/control-$lost"
 start_control "$lost"
 change lens-desk
-wait_until 20 all_fresh || fail "control-$lost is not let in again"
-say "a second instance lost right after that repair"
+wait_until 20 all_fresh || fail "control-$lost has not rejoined within 20 s"
+say "kill of a second instance right after the first has rejoined"
 sleep 3
 other=$((($(leader) + 2) % 3))
 [ "$other" = "$lost" ] && other=$((($(leader) + 1) % 3))
 stop "control-$other" KILL
-for i in 1 2 3; do change lens-desk || fail "no quorum after the repair"; done
+for i in 1 2 3; do
+    change lens-desk || fail "change $i failed: no quorum after the rejoin"
+done
 check_last
 start_control "$other"
-wait_until 20 all_fresh || fail "control-$other does not come back"
+wait_until 20 all_fresh || fail "control-$other is not up to date within 20 s"
 
-say "loss of all power, one disk lost: no lease is waited for"
-# stamp NUMBER PATTERN: when the last such line of a replica was logged, in ms.
+say "all replicas killed, one loses its data: no lease is waited for"
+# stamp INDEX PATTERN: prints the time in ms of the last log line of a replica
+# that matches PATTERN.
 stamp() {
     date -d "$(grep "$2" "$RUN/control-$1.log" | tail -1 |
         sed 's/^time=\([^ ]*\).*/\1/')" +%s%3N
@@ -155,7 +170,8 @@
 for i in 0 1 2; do stop "control-$i" KILL; done
 rm -rf "${RUN:?}/control-$wiped"
 for i in 0 1 2; do start_control $i; done
-wait_until 20 all_fresh || fail "the replicas do not come back"
+wait_until 20 all_fresh ||
+    fail "the replicas are not up to date after the restart"
 led=$(leader)
 began=0
 for i in 0 1 2; do
@@ -163,11 +179,12 @@
     [ "$started" -gt "$began" ] && began=$started
 done
 waited=$(($(stamp "$led" "event=replica_role role=leader") - began))
-say "led $waited ms after the last start"
-[ "$waited" -lt 400 ] || fail "led only after $waited ms"
+say "a leader $waited ms after the last start"
+[ "$waited" -lt 400 ] ||
+    fail "no leader until $waited ms after the last start (limit 400 ms)"
 check_last
 
-say "two operators race for $((2 * RACE)) changes"
+say "two operators apply $((2 * RACE)) changes at the same time"
 before=$(metric "$(admin_port "$(leader)")" revision)
 race() {
     local i wins=0
@@ -187,15 +204,16 @@
 wins=$(($(cat "$RUN/wins-a") + $(cat "$RUN/wins-b")))
 after=$(metric "$(admin_port "$(leader)")" revision)
 [ $((after - before)) = "$wins" ] ||
-    fail "$wins changes acknowledged, $((after - before)) applied"
-say "race: $wins of $((2 * RACE)) won, the others were told"
+    fail "$wins changes acknowledged, but $((after - before)) applied"
+say "race: $wins of $((2 * RACE)) acknowledged, the others refused"
 
-# Seven seconds after the last change, and not at its own moment.
+# The last change must be in force within 7 s, not at once.
 in_force() {
     cli status > "$RUN/status.txt" &&
         grep -q "revision $after, in force on 5 of 5" "$RUN/status.txt"
 }
-wait_until 7 in_force || fail "not in force everywhere"
+wait_until 7 in_force ||
+    fail "revision $after is not in force on 5 of 5 instances within 7 s"
 head -8 "$RUN/status.txt"
 for i in 0 1 2; do
     stop "control-$i"
@@ -205,4 +223,5 @@
 done
 echo "control: acknowledged=$acked refused=$refused unknown=$unknown" \
     "slowest_ms=$slowest lost=0 reverted=0 twice=0 race_won=$wins"
-[ "$slowest" -lt 7000 ] || fail "a change took $slowest ms"
+[ "$slowest" -lt 7000 ] ||
+    fail "the slowest change took $slowest ms (limit 7000 ms)"
--- a/tests/runs/flows.sh
+++ b/tests/runs/flows.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Scripted run: open connections through planned change on real processes.
+# Scripted run on real processes: open connections during planned changes.
 # Balancers are stopped, killed and started; agents are replaced and killed;
-# an upstream joins and another drains. No request may break.
+# an upstream joins and others drain. No request may fail.
 set -u
 cd "$(dirname "$0")/../.."
 BIN=${BUILD:-build}
@@ -19,6 +19,7 @@
 }
 
 agent() { start_agent lens-desk "$1" --drain-seconds 20; }
+# metric ADMIN_PORT NAME: prints the metric radishport_NAME.
 metric() { curl -s "127.0.0.1:$1/metrics" | sed -n "s/^radishport_$2{.*} //p"; }
 
 prepare_run
@@ -30,11 +31,13 @@
     agent $i
 done
 start_edge "127.0.0.1:$(service_port 0)" 10.80.0.1:7000
-wait_until 10 cli service list || fail "control does not answer"
-cli service apply "$(document lens-desk 10.80.0.1:7000)" || fail "apply"
-wait_until 10 has_ready lens-desk 3 || fail "upstreams not ready"
+wait_until 10 cli service list || fail "control-0 does not answer"
+cli service apply "$(document lens-desk 10.80.0.1:7000)" ||
+    fail "service apply failed"
+wait_until 10 has_ready lens-desk 3 ||
+    fail "lens-desk has not 3 ready upstreams within 10 s"
 
-say "200 connections, each kept for the whole run"
+say "200 connections that stay open for the whole run"
 start client "$BIN/tests/standin-client" --requests 12000 \
     --targets "127.0.0.1:$(service_port 0)" --services lens-desk \
     --connections 200 --per-connection 1000000 --pause-ms 300
@@ -66,15 +69,15 @@
 say "upstream 3 joins"
 start_host lens-desk 10.80.0.1:7000 3
 agent 3
-wait_until 10 has_ready lens-desk 4 || fail "upstream 3 did not join"
+wait_until 10 has_ready lens-desk 4 || fail "upstream-3 did not join within 10 s"
 
 say "upstream 1 is drained by order and resumed"
-cli upstream drain upstream-1 || fail "drain"
+cli upstream drain upstream-1 || fail "upstream drain failed"
 wait_until 3 has_ready lens-desk 3 || fail "drain not announced within 3 s"
-cli upstream resume upstream-1 || fail "resume"
+cli upstream resume upstream-1 || fail "upstream resume failed"
 wait_until 3 has_ready lens-desk 4 || fail "resume not announced within 3 s"
 cli upstream drain nobody 2> /dev/null
-[ $? = 1 ] || fail "an unknown upstream was drained"
+[ $? = 1 ] || fail "upstream drain of an unknown upstream did not end with 1"
 
 say "upstream 0 drains: open flows go on, new ones go elsewhere"
 before=$(grep -c reading "$RUN/server-0.log")
@@ -87,7 +90,7 @@
 unset "PIDS[newcomer]"
 grep -h -o 'answered=.*' "$RUN/newcomer.log"
 grep -q "answered=300 broken=0 misdirected=0" "$RUN/newcomer.log" ||
-    fail "new flows broke during a drain"
+    fail "requests on new flows failed during a drain"
 ! grep -q 'reading=new' "$RUN/server-0.log" ||
     fail "a draining upstream got new flows"
 [ "$(grep -c reading "$RUN/server-0.log")" -gt "$before" ] ||
--- a/tests/soak/soak.sh
+++ b/tests/soak/soak.sh
@@ -1,16 +1,17 @@
 #!/usr/bin/env bash
-# Soak: the real programs as separate processes on loopback, with faults from
-# outside drawn from a seed: signals in series and overlapping, replaced and
-# killed processes, lost disks, changes by an operator.
+# Soak test: runs the real programs as separate processes on loopback and
+# injects faults that a seed determines: signals in sequence and at the same
+# time, replaced and killed processes, lost disks, changes by an operator.
 #
-#   soak.sh FIRST [LAST]     plays the seeds from FIRST to LAST
+#   soak.sh FIRST [LAST]     runs the seeds from FIRST to LAST
 #
-# Callers keep their connections in use all the while. What must hold, as
-# callers, hosts and the operator see it: no request broken or answered by
-# another service, no reading at two hosts, no acknowledged change lost or
-# older than the one before. STEPS sets how many faults a seed has.
+# Callers send requests over open connections during the whole run. The test
+# checks, as callers, hosts and the operator see it, that no request breaks or
+# is answered by another service, that no request reaches two hosts, and that
+# no acknowledged change is lost or replaced by an older one. STEPS sets the
+# number of faults per seed.
 #
-# Seeds that failed once, each with its cause, stand in tests/soak/failed.
+# tests/soak/failed lists seeds that failed once, each with its cause.
 set -u
 cd "$(dirname "$0")/../.."
 BIN=${BUILD:-build}
@@ -23,18 +24,20 @@
 AGENTS=4
 . tests/system.sh
 trap stop_system EXIT
-# Processes are started as nohup starts them. A hangup between fork and the
-# role's own handler would end them, and no program can help that: it has not
-# been loaded yet. From its handler on, a role answers the hangup.
+# Ignore SIGHUP in child processes, as nohup does. Otherwise a SIGHUP between
+# fork and the installation of the role's handler ends the process, and no
+# program can prevent that before it is loaded. The role's handler replaces
+# the ignored signal.
 trap '' HUP
 
-# roll N: a number below N. Sets ROLL, for a subshell would draw the same
-# numbers again.
+# roll N: sets ROLL to a random number from 0 to N - 1. It does not print the
+# number, because a subshell would draw the same numbers again.
 roll() { ROLL=$((RANDOM % $1)); }
 
 agent() { start_agent lens-desk "$1" --drain-seconds 20; }
 
-# change: one change by the operator; remembers the last acknowledged.
+# change: applies one change and keeps the number of the last acknowledged
+# one.
 change() {
     changes=$((changes + 1))
     local file="$RUN/change.conf"
@@ -46,18 +49,19 @@
     fi
 }
 
-# A pause of one process, while others go on.
+# freeze NAME SECONDS: suspends one process while the others go on.
 freeze() {
     kill -STOP "${PIDS[$1]}"
     (sleep "$2"; kill -CONT "${PIDS[$1]}") &
     THAWS="$THAWS $!"
 }
 
+# fault STEP: draws one fault and the instance it affects, and injects it.
 fault() {
     local kind which
     roll 10; kind=$ROLL
     roll 3; which=$ROLL
-    say "seed $SEED step $1: fault $kind on $which"
+    say "seed $SEED step $1: fault $kind on instance $which"
     case $kind in
     0) stop "balancer-$which"; start_balancer "$which" ;;
     1) stop "balancer-$which" KILL; start_balancer "$which" ;;
@@ -70,7 +74,7 @@
             "${PIDS[agent-$which]}"
         ;;
     7)
-        # One disk at a time, and only while the others are up to date.
+        # A data folder is deleted only while all replicas are up to date.
         if wait_until 10 all_fresh; then
             stop "control-$which" KILL
             rm -rf "$RUN/control-$which"
@@ -88,7 +92,8 @@
 
 metric() { curl -s -m 1 "127.0.0.1:$1/metrics" | sed -n "s/^radishport_$2{.*} //p"; }
 is_fresh() { [ "$(metric "$(admin_port "$1")" fresh)" = 1 ]; }
-# Each has a vote, too: a disk may be lost only then.
+# all_fresh: all replicas are up to date and have a vote. Only then may one
+# lose its data.
 all_fresh() {
     is_fresh 0 && is_fresh 1 && is_fresh 2 &&
         [ "$(cli status 2> /dev/null | grep -cE '^replica .*: (leader|follower),')" = 3 ]
@@ -110,11 +115,12 @@
     wait_until 10 has_ready lens-desk $AGENTS
 }
 
-# in_force: the change that control hands out now.
+# in_force: prints the number of the change that control returns now.
 in_force() {
     cli service get lens-desk 2> /dev/null | sed -n 's/^# \([0-9]*\)$/\1/p'
 }
 
+# play SEED: runs one seed and prints its result.
 play() {
     SEED=$1
     RUN="demo-run/soak-$SEED"
--- a/tests/system.sh
+++ b/tests/system.sh
@@ -1,11 +1,11 @@
-# Shell functions that start a whole system on 127.0.0.1, each process its
-# own, for the demo and the scripted runs. Source it, then set:
+# Shell functions that start a whole system as processes on 127.0.0.1, for the
+# demo, the scripted runs and the soak test. Set these, then source this file:
 #
-#   BIN    folder of the build          RUN    folder for logs and data
+#   BIN    build directory              RUN    directory for logs and data
 #   BASE   first of 1000 ports          LOSS, REORDER, DUPLICATE  permille
 #
-# Every process started here is remembered in PIDS and ended by
-# stop_system; nothing else is touched.
+# PIDS holds every process started here; stop_system ends these processes and
+# no others.
 
 declare -A PIDS
 LOSS=${LOSS:-0}
@@ -17,7 +17,7 @@
 
 say() { echo "$(basename "${0%.sh}"): $*"; }
 
-# Ports of a part: NAME_PORT INDEX
+# NAME_port INDEX: prints the port of an instance.
 control_port() { echo $((BASE + 1 + $1)); }
 balancer_port() { echo $((BASE + 100 + $1)); }
 agent_port() { echo $((BASE + 200 + $1)); }
@@ -46,7 +46,8 @@
     echo "$list"
 }
 
-# start NAME COMMAND...: runs it in the background with its own log.
+# start NAME COMMAND...: runs a command in the background with its output in
+# $RUN/NAME.log.
 start() {
     local name=$1
     shift
@@ -54,7 +55,8 @@
     PIDS[$name]=$!
 }
 
-# stop NAME [SIGNAL]: ends one process and waits for it.
+# stop NAME [SIGNAL]: sends a signal (default TERM) to a process and waits for
+# its end.
 stop() {
     local name=$1 signal=${2:-TERM}
     [ -n "${PIDS[$name]:-}" ] || return 0
@@ -74,6 +76,8 @@
     PIDS=()
 }
 
+# prepare_run: creates an empty $RUN and a key file, and sets the programs'
+# environment.
 prepare_run() {
     rm -rf "$RUN"
     mkdir -p "$RUN"
@@ -83,7 +87,8 @@
     export RADISHPORT_CONTROL
 }
 
-# create_system: makes control-0 the first replica of a new system.
+# create_system: creates the data of a new system with control-0 as its only
+# replica.
 create_system() {
     "$BIN/programs/radishportd" control --create --name control-0 \
         --listen "127.0.0.1:$(control_port 0)" --data "$RUN/control-0"
@@ -101,7 +106,8 @@
         --admin "127.0.0.1:$(admin_port $((100 + $1)))"
 }
 
-# start_host SERVICE ADDRESS INDEX: a server and the host in front of it.
+# start_host SERVICE ADDRESS INDEX: starts a server and the stand-in host that
+# relays to it.
 start_host() {
     start "server-$3" "$BIN/tests/standin-server" --service "$1" \
         --listen "127.0.0.1:$(server_port "$3")"
@@ -111,7 +117,7 @@
         --server "127.0.0.1:$(server_port "$3")"
 }
 
-# start_agent SERVICE INDEX [FLAGS]
+# start_agent SERVICE INDEX [FLAGS...]: starts the agent of host INDEX.
 start_agent() {
     local service=$1 index=$2
     shift 2
@@ -123,7 +129,8 @@
         --fabric "127.0.0.1:$(FABRIC_SYSTEM)" --slots 7 "$@"
 }
 
-# start_edge PORTS SERVICES: the fabric and the callers' side.
+# start_edge PORTS SERVICES: starts the fabric and the stand-in for callers.
+# Both arguments are comma-separated lists of addresses in the same order.
 start_edge() {
     start fabric "$BIN/tests/standin-fabric" \
         --callers "127.0.0.1:$(FABRIC_CALLERS)" \
@@ -137,7 +144,7 @@
         --ports "$1" --services "$2"
 }
 
-# document SERVICE ADDRESS: writes a service document and prints its name.
+# document SERVICE ADDRESS: writes a service document and prints its path.
 document() {
     printf '[service]\nname = %s\naddress = %s\n' "$1" "$2" > "$RUN/$1.conf"
     printf '[placement]\nlong-slots-percent = 50\n' >> "$RUN/$1.conf"
@@ -146,7 +153,8 @@
 
 cli() { "$BIN/programs/radishport" "$@"; }
 
-# wait_until SECONDS COMMAND...: tries until it succeeds.
+# wait_until SECONDS COMMAND...: repeats a command until it succeeds. Fails
+# after about SECONDS.
 wait_until() {
     local tries=$(($1 * 20)) i
     shift
@@ -157,10 +165,11 @@
     return 1
 }
 
-# ready_upstreams SERVICE: how many of its upstreams are ready.
+# ready_upstreams SERVICE: prints the number of its ready upstreams.
 ready_upstreams() {
     cli service list --json | tr -d ' \n' |
         sed -n "s/.*\"name\":\"$1\"[^}]*\"ready\":\([0-9]*\).*/\1/p"
 }
 
+# has_ready SERVICE N: succeeds if exactly N of its upstreams are ready.
 has_ready() { [ "$(ready_upstreams "$1")" = "$2" ]; }
--- a/tools/lint.sh
+++ b/tools/lint.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Formatter and linters over every committed source file. The build itself
-# already treats warnings as errors.
+# Runs clang-format, cppcheck and clang-tidy on every committed source file.
+# Compiler warnings are already errors in the build.
 set -eu
 BUILD=${BUILD:-build}
 JOBS=${JOBS:-8}
--- a/tools/setup.sh
+++ b/tools/setup.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
 # Installs the libraries and tools that the build, the tests and the linters
-# need. Does nothing where they are present already.
+# need. Does nothing if they are all present.
 set -eu
 
 PACKAGES="build-essential cmake pkg-config clang-format clang-tidy cppcheck
