--- a/tests/measure/flow_model.c
+++ b/tests/measure/flow_model.c
@@ -195,6 +195,7 @@
     }
 }
 
+/* The host admits the flow; its request arrives one round trip later. */
 static void
 admit_flow(struct model *model, uint32_t number, uint32_t host, int64_t now)
 {
@@ -208,6 +209,8 @@
     heap_push(&model->heap, request->data, EV_DATA, number, host);
 }
 
+/* Returns the host with the lowest reported load among the first `choices`
+ * candidates. */
 static uint32_t
 find_least_reported(const struct model *model, const struct request *request,
                     uint32_t choices)
@@ -223,6 +226,7 @@
     return best;
 }
 
+/* Returns the host with the lowest current load among all candidates. */
 static uint32_t
 find_least_counted(const struct model *model, const struct request *request)
 {
--- a/tests/measure/heap.c
+++ b/tests/measure/heap.c
@@ -24,12 +24,12 @@
                           .kind = kind,
                           .subject = subject,
                           .detail = detail};
-    size_t place = heap->count++;
-    while (place > 0 && is_earlier(&event, &heap->events[(place - 1) / 2])) {
-        heap->events[place] = heap->events[(place - 1) / 2];
-        place = (place - 1) / 2;
+    size_t index = heap->count++;
+    while (index > 0 && is_earlier(&event, &heap->events[(index - 1) / 2])) {
+        heap->events[index] = heap->events[(index - 1) / 2];
+        index = (index - 1) / 2;
     }
-    heap->events[place] = event;
+    heap->events[index] = event;
 }
 
 bool
@@ -40,9 +40,9 @@
     }
     *event = heap->events[0];
     struct event last = heap->events[--heap->count];
-    size_t place = 0;
+    size_t index = 0;
     for (;;) {
-        size_t child = place * 2 + 1;
+        size_t child = index * 2 + 1;
         if (child >= heap->count) {
             break;
         }
@@ -53,10 +53,10 @@
         if (!is_earlier(&heap->events[child], &last)) {
             break;
         }
-        heap->events[place] = heap->events[child];
-        place = child;
+        heap->events[index] = heap->events[child];
+        index = child;
     }
-    heap->events[place] = last;
+    heap->events[index] = last;
     return true;
 }
 
--- a/tests/measure/pinned_model.c
+++ b/tests/measure/pinned_model.c
@@ -46,6 +46,7 @@
     bool mixed; /* any connection may have long requests */
 };
 
+/* The number of a host's slots that long requests may use at the same time. */
 static uint32_t
 long_slots(const struct model *model)
 {
@@ -97,6 +98,8 @@
     start_from_host_queue(model, host, now);
 }
 
+/* Moves requests that wait at the host's gate to the host, as many as the gate
+ * admits. */
 static void
 admit_from_gate(struct model *model, uint32_t host, int64_t now)
 {
--- a/tests/standins/fabric.c
+++ b/tests/standins/fabric.c
@@ -45,7 +45,9 @@
 static struct rp_udp *caller_side;
 static struct rp_counters counters;
 static struct balancer balancers[RP_ENDPOINTS_MAX];
-static GHashTable *callers; /* inner address -> struct rp_endpoint */
+/* Maps a caller's inner IP address to the endpoint its datagrams come from
+ * (struct rp_endpoint). */
+static GHashTable *callers;
 static GRand *rng;
 
 static const struct rp_setting settings_table[] = {
@@ -102,9 +104,9 @@
     uint8_t data[];
 };
 
-/* Returns true with the given probability. */
+/* Returns true with a probability of permille / 1000. */
 static bool
-has_chance(uint32_t permille)
+draw_event(uint32_t permille)
 {
     return permille && g_rand_int_range(rng, 0, PERMILLE) < (int)permille;
 }
@@ -185,16 +187,17 @@
     return G_SOURCE_REMOVE;
 }
 
+/* Sends a datagram on, after a random loss, duplication or delay. */
 static void
 forward(const struct datagram *datagram)
 {
-    if (has_chance(settings.loss_permille)) {
+    if (draw_event(settings.loss_permille)) {
         return;
     }
-    if (has_chance(settings.duplicate_permille)) {
+    if (draw_event(settings.duplicate_permille)) {
         deliver(datagram);
     }
-    if (has_chance(settings.reorder_permille)) {
+    if (draw_event(settings.reorder_permille)) {
         struct datagram *copy = g_memdup2(datagram,
                                           sizeof *datagram + datagram->len);
         guint delay = (guint)g_rand_int_range(rng, 1, MAX_DELAY_MS);
--- a/tests/standins/splice.c
+++ b/tests/standins/splice.c
@@ -15,10 +15,10 @@
     int fd;
     guint read_source;
     guint write_source;
-    GByteArray *to_fd;
-    bool stack_ended; /* the stack's peer sent a FIN */
-    bool fd_ended;    /* the socket's peer sent a FIN */
-    bool fd_shut;     /* the stack's FIN was sent on to the socket */
+    GByteArray *to_fd; /* from the stack, not yet written to the socket */
+    bool stack_ended;  /* the stack's peer sent a FIN */
+    bool fd_ended;     /* the socket's peer sent a FIN */
+    bool fd_shut;      /* the stack's FIN was sent on to the socket */
 };
 
 static gboolean on_readable(gint fd, GIOCondition condition, gpointer data);
@@ -129,6 +129,8 @@
     }
 }
 
+/* Moves data from the socket to the stack. Stops watching the socket while the
+ * stack's send buffer is full; on_stack_sent starts it again. */
 static gboolean
 on_readable(gint fd, GIOCondition condition, gpointer data)
 {
