--- a/programs/cli/cli.c
+++ b/programs/cli/cli.c
@@ -119,8 +119,8 @@
     static const struct rp_conn_ops ops = {
         .ready = on_ready, .message = on_message, .closed = on_closed};
 
-    struct rp_conn *conn = RpConn_Open(context, to, RP_CONN_CONNECT_US, &ops,
-                                       exchange);
+    struct rp_conn *conn = RpConn_Open(context, to, RP_CONN_CONNECT_TIMEOUT_US,
+                                       &ops, exchange);
     guint limit = g_timeout_add(ATTEMPT_TIMEOUT_MS, on_attempt_timeout, conn);
     g_main_loop_run(exchange->loop);
     g_source_remove(limit);
--- a/tests/measure/cost.c
+++ b/tests/measure/cost.c
@@ -176,9 +176,9 @@
         .self = {.ip = 0x0b000000, .port = 6081}, .slots = 7, .seed = 5};
     struct rp_endpoint address = {.ip = 0x0a500000, .port = 7000};
     struct rp_agent *agent = RpAgent_Create(
-        &config, chart, RpAdmission_CreateLeast(), counters);
+        &config, chart, RpAdmission_CreateLeastBusy(), counters);
 
-    RpAgent_SetTable(agent, table, RpTable_Find(table, address));
+    RpAgent_SetTable(agent, table, RpTable_FindByAddress(table, address));
     return agent;
 }
 
@@ -232,7 +232,7 @@
         int64_t end = now_ns();
         double each = (double)((middle - start) - (end - middle)) / PACKETS;
         printf("cost agent flows=%u ns_per_packet=%.1f bytes_per_flow=%.1f\n",
-               sizes[i], each, (double)RpAgent_Bytes(agent) / sizes[i]);
+               sizes[i], each, (double)RpAgent_TableBytes(agent) / sizes[i]);
         RpAgent_Free(agent);
     }
     RpMsg_Clear(&msg);
@@ -481,7 +481,7 @@
         now += RP_US_PER_SECOND;
         apply_document(catalog, 1, 2);
         set_numbered_name(&service, "service", 1);
-        RpDistribution_Touch(distribution, now, &service);
+        RpDistribution_MarkServiceChanged(distribution, now, &service);
         now += RP_TABLE_BATCH_US;
         start = now_ns();
         RpDistribution_Flush(distribution, now);
@@ -492,7 +492,7 @@
         sent_bytes = 0;
         for (unsigned j = 0; j < sizes[i]; j += 21) {
             set_numbered_name(&service, "service", j);
-            RpDistribution_Touch(distribution, now, &service);
+            RpDistribution_MarkServiceChanged(distribution, now, &service);
         }
         now += RP_TABLE_BATCH_US;
         RpDistribution_Flush(distribution, now);
@@ -594,7 +594,7 @@
         double apply_ms = (double)(now_ns() - start) / 1e6;
         now += RP_US_PER_SECOND;
         start = now_ns();
-        RpDistribution_TouchEdition(distribution, now);
+        RpDistribution_MarkEditionChanged(distribution, now);
         RpDistribution_Flush(distribution, now + RP_TABLE_BATCH_US);
         printf("cost edition addresses=%u apply_ms=%.2f entry_kb=%zu "
                "join_ms=%.2f join_kb=%" G_GUINT64_FORMAT
--- a/tests/measure/flow_model.c
+++ b/tests/measure/flow_model.c
@@ -52,7 +52,7 @@
     uint32_t chain[MAX_HOSTS]; /* candidates in order */
     uint32_t position;         /* of the current candidate in `chain` */
     uint32_t best;             /* the least loaded host that passed it on */
-    uint8_t best_share;
+    uint8_t lowest_utilisation;
     bool forced; /* sent back to `best`, which must admit it */
 };
 
@@ -242,7 +242,7 @@
 }
 
 /* The decision of POLICY_ADAPT3, which exists only in this model. */
-static enum rp_verdict
+static enum rp_decision
 decide_adaptively(struct model *model, uint32_t host,
                   const struct rp_load *load)
 {
@@ -250,8 +250,8 @@
     double bound = MAX((double)load->slots, self->mean * 1.1);
 
     self->mean += (load->busy - self->mean) * 0.02;
-    return load->busy < bound || load->last ? RP_VERDICT_TAKE
-                                            : RP_VERDICT_PASS;
+    return load->busy < bound || load->last ? RP_DECISION_ADMIT
+                                            : RP_DECISION_PASS_ON;
 }
 
 /* The candidate at `position` decides on a flow: it admits the flow, passes it
@@ -262,14 +262,15 @@
     struct request *request = get_request(model, number);
     uint32_t host = request->chain[request->position];
     uint32_t length = chain_length(model);
-    const struct rp_load load = {.slots = model->scene->slots,
-                                 .busy = model->hosts[host].counted,
-                                 .flow_limit = UINT32_MAX,
-                                 .position = request->position,
-                                 .best_share = request->best_share,
-                                 .last = request->position + 1 == length};
+    const struct rp_load load = {
+        .slots = model->scene->slots,
+        .busy = model->hosts[host].counted,
+        .flow_limit = UINT32_MAX,
+        .position = request->position,
+        .lowest_utilisation = request->lowest_utilisation,
+        .last = request->position + 1 == length};
     enum rp_counter reason;
-    enum rp_verdict verdict = RP_VERDICT_TAKE;
+    enum rp_decision verdict = RP_DECISION_ADMIT;
     uint32_t next;
 
     if (model->policy == POLICY_ADAPT3) {
@@ -278,11 +279,11 @@
     else if (!request->forced) {
         verdict = RpAdmission_Decide(model->admission, &load, &reason);
     }
-    if (verdict == RP_VERDICT_TAKE) {
+    if (verdict == RP_DECISION_ADMIT) {
         admit_flow(model, number, host, now);
         return;
     }
-    if (verdict == RP_VERDICT_BACK) {
+    if (verdict == RP_DECISION_PASS_BACK) {
         next = request->best;
         request->forced = true;
         request->position = 0;
@@ -291,9 +292,9 @@
         }
     }
     else {
-        uint8_t share = RpLoad_Share(&load);
-        if (share < request->best_share) {
-            request->best_share = share;
+        uint8_t share = RpLoad_Utilisation(&load);
+        if (share < request->lowest_utilisation) {
+            request->lowest_utilisation = share;
             request->best = host;
         }
         next = request->chain[++request->position];
@@ -351,7 +352,8 @@
 static void
 handle_arrival(struct model *model, int64_t now)
 {
-    struct request request = {.arrived = now, .best_share = RP_SHARE_MAX};
+    struct request request = {.arrived = now,
+                              .lowest_utilisation = RP_UTILISATION_MAX};
     int64_t next = next_arrival(model->scene, model->dice, now);
 
     request.is_long = g_rand_double(model->dice) < model->scene->long_share;
@@ -431,8 +433,8 @@
     struct event event;
 
     model.admission = policy == POLICY_BOUND2 || policy == POLICY_BOUND3
-                          ? RpAdmission_CreateBound()
-                          : RpAdmission_CreateLeast();
+                          ? RpAdmission_CreateFreeSlot()
+                          : RpAdmission_CreateLeastBusy();
     heap_push(&model.heap, 0, EV_REPORT, 0, 0);
     heap_push(&model.heap, 1, EV_ARRIVE, 0, 0);
     while (heap_pop(&model.heap, &event)) {
--- a/tests/measure/pinned_model.c
+++ b/tests/measure/pinned_model.c
@@ -3,7 +3,7 @@
  * its requests. */
 #include "heap.h"
 #include "model.h"
-#include "rp_gate.h"
+#include "rp_request_queue.h"
 
 #define LONG_CONNECTIONS 0.02 /* share of connections with long requests */
 
@@ -38,7 +38,7 @@
     struct heap heap;
     GRand *dice;
     GArray *requests;
-    struct rp_gate *gates[MAX_HOSTS];
+    struct rp_request_queue *gates[MAX_HOSTS];
     uint32_t serving[MAX_HOSTS];
     GQueue queues[MAX_HOSTS]; /* the hosts' own queues, of request indexes */
     struct balance balance;
@@ -106,7 +106,8 @@
     struct rp_flow_key caller;
     bool is_long;
 
-    while (RpGate_Next(model->gates[host], now, &caller, &is_long)) {
+    while (
+        RpRequestQueue_StartNext(model->gates[host], now, &caller, &is_long)) {
         enqueue_at_host(model, caller.src_ip, now);
     }
 }
@@ -129,9 +130,10 @@
     uint32_t best = 0;
 
     for (uint32_t i = 1; i < model->scene->hosts; i++) {
-        if (RpGate_Inside(model->gates[i]) + RpGate_Kept(model->gates[i]) <
-            RpGate_Inside(model->gates[best]) +
-                RpGate_Kept(model->gates[best])) {
+        if (RpRequestQueue_CountStarted(model->gates[i]) +
+                RpRequestQueue_CountWaiting(model->gates[i]) <
+            RpRequestQueue_CountStarted(model->gates[best]) +
+                RpRequestQueue_CountWaiting(model->gates[best])) {
             best = i;
         }
     }
@@ -163,12 +165,12 @@
         return;
     }
     struct rp_flow_key caller = {.src_ip = number, .src_port = 1};
-    if (RpGate_Enter(model->gates[request.host], now, caller,
-                     request.predicted_long)) {
+    if (RpRequestQueue_StartOrEnqueue(model->gates[request.host], now, caller,
+                                      request.predicted_long)) {
         enqueue_at_host(model, number, now);
         return;
     }
-    heap_push(&model->heap, now + RP_GATE_HOLD_US, EV_HOLD_OVER, number,
+    heap_push(&model->heap, now + RP_REQUEST_MAX_WAIT_US, EV_HOLD_OVER, number,
               request.host);
 }
 
@@ -180,8 +182,8 @@
     balance_set(&model->balance, model->scene, now, host,
                 model->serving[host]);
     if (model->policy != POLICY_FIFO) {
-        RpGate_Leave(model->gates[host],
-                     get_request(model, number)->predicted_long);
+        RpRequestQueue_Finish(model->gates[host],
+                              get_request(model, number)->predicted_long);
         admit_from_gate(model, host, now);
     }
     start_from_host_queue(model, host, now);
@@ -201,7 +203,8 @@
     struct event event;
 
     for (uint32_t i = 0; i < scene->hosts; i++) {
-        model.gates[i] = RpGate_Create(scene->slots, long_slots(&model));
+        model.gates[i] = RpRequestQueue_Create(scene->slots,
+                                               long_slots(&model));
     }
     heap_push(&model.heap, 1, EV_ARRIVE, 0, 0);
     while (heap_pop(&model.heap, &event)) {
@@ -217,7 +220,7 @@
     }
     outcome->imbalance = balance_result(&model.balance);
     for (uint32_t i = 0; i < scene->hosts; i++) {
-        RpGate_Free(model.gates[i]);
+        RpRequestQueue_Free(model.gates[i]);
     }
     heap_clear(&model.heap);
     g_array_free(model.requests, TRUE);
