--- a/lib/common/rp_counters.h
+++ b/lib/common/rp_counters.h
@@ -169,8 +169,8 @@
 
 /* Adds a duration in microseconds to the histogram `id`. */
 static inline void
-RpCounters_Time(struct rp_counters *counters, enum rp_histogram_id id,
-                int64_t duration_us)
+RpCounters_AddDuration(struct rp_counters *counters, enum rp_histogram_id id,
+                       int64_t duration_us)
 {
     RpHistogram_Add(&counters->histograms.item[id], duration_us);
 }
--- a/lib/common/rp_error.h
+++ b/lib/common/rp_error.h
@@ -3,7 +3,7 @@
  *
  * A function that can fail takes a `struct rp_error *` and returns an
  * `enum rp_code`. It adds one finding for each error, so that the caller can
- * report all errors together. RP_FORWARD_IF_ERROR returns the code of a failed
+ * report all errors together. RP_RETURN_IF_ERROR returns the code of a failed
  * call from the enclosing function.
  */
 #ifndef RP_ERROR_H
@@ -44,11 +44,11 @@
 };
 
 /* Returns the code of `call` from the enclosing function if it fails. */
-#define RP_FORWARD_IF_ERROR(call)                                             \
+#define RP_RETURN_IF_ERROR(call)                                              \
     do {                                                                      \
-        enum rp_code forwarded_code_ = (call);                                \
-        if (forwarded_code_ != RP_OK) {                                       \
-            return forwarded_code_;                                           \
+        enum rp_code returned_code_ = (call);                                 \
+        if (returned_code_ != RP_OK) {                                        \
+            return returned_code_;                                            \
         }                                                                     \
     } while (0)
 
--- a/lib/common/rp_log.c
+++ b/lib/common/rp_log.c
@@ -130,7 +130,7 @@
 }
 
 void
-RpLog_Report(struct rp_log *log)
+RpLog_ReportSuppressed(struct rp_log *log)
 {
     int64_t now = g_get_monotonic_time();
     GList *events = g_hash_table_get_keys(log->rates);
--- a/lib/common/rp_log.h
+++ b/lib/common/rp_log.h
@@ -5,7 +5,7 @@
  * The rate of each event is limited: in a window of RP_LOG_WINDOW_US, an event
  * name may write RP_LOG_BURST lines, or the number that RpLog_SetBudget set.
  * Further lines are suppressed and counted. The count is written with the next
- * line of that event as suppressed=N, or by RpLog_Report.
+ * line of that event as suppressed=N, or by RpLog_ReportSuppressed.
  *
  * Writing never blocks: a line that the output cannot take at once is lost and
  * counted.
@@ -52,7 +52,7 @@
 
 /* Writes event=lines_left_out of=EVENT count=N for each event that had lines
  * suppressed in a window that is over. */
-void RpLog_Report(struct rp_log *log);
+void RpLog_ReportSuppressed(struct rp_log *log);
 
 /* Returns the number of lines that were lost because the output could not take
  * them at once, or because they were longer than PIPE_BUF. */
--- a/lib/control/rp_catalog.c
+++ b/lib/control/rp_catalog.c
@@ -288,7 +288,7 @@
     struct rp_str text = {.data = change->document->str,
                           .len = change->document->len};
 
-    RP_FORWARD_IF_ERROR(RpDocument_Parse(text, &document, error));
+    RP_RETURN_IF_ERROR(RpDocument_Parse(text, &document, error));
     answer->service = document.name;
     if (change->service.len &&
         !RpName_Equal(&change->service, &document.name)) {
@@ -313,7 +313,7 @@
                            ", the current revision is %" G_GUINT64_FORMAT,
                            change->base, current);
     }
-    RP_FORWARD_IF_ERROR(check_address_available(catalog, &document, error));
+    RP_RETURN_IF_ERROR(check_address_available(catalog, &document, error));
     store_document(catalog, &document, change->document);
     answer->revision = catalog->revision;
     answer->service_id = RpCatalog_Find(catalog, &document.name)->id;
@@ -519,7 +519,7 @@
     enum rp_code code = RpEdition_Check(&edition, error);
     code = code == RP_OK ? check_no_documents(catalog, &edition, error) : code;
     RpEdition_Clear(&edition);
-    RP_FORWARD_IF_ERROR(code);
+    RP_RETURN_IF_ERROR(code);
     reply->repeated = version <= catalog->edition.version;
     if (!reply->repeated && RpCatalog_SetEdition(catalog, body)) {
         catalog->revision++;
--- a/lib/control/rp_catalog_snapshot.c
+++ b/lib/control/rp_catalog_snapshot.c
@@ -144,7 +144,7 @@
     struct rp_document document;
     struct rp_str text = {.data = row->text->str, .len = row->text->len};
 
-    RP_FORWARD_IF_ERROR(RpDocument_Parse(text, &document, NULL));
+    RP_RETURN_IF_ERROR(RpDocument_Parse(text, &document, NULL));
     struct rp_catalog_entry *entry = g_new0(struct rp_catalog_entry, 1);
     entry->name = document.name;
     entry->id = row->id;
--- a/lib/state/rp_journal.c
+++ b/lib/state/rp_journal.c
@@ -207,7 +207,7 @@
 {
     size_t offset = HEADER_SIZE;
 
-    RP_FORWARD_IF_ERROR(check_header(data, len, path, error));
+    RP_RETURN_IF_ERROR(check_header(data, len, path, error));
     while (offset < len) {
         size_t size = 0;
         const uint8_t *at = data + offset;
@@ -231,7 +231,7 @@
             .payload = {.data = (const char *)at + RECORD_HEADER_SIZE,
                         .len = size - RECORD_HEADER_SIZE}};
         if (reader) {
-            RP_FORWARD_IF_ERROR(reader->visit(reader->user, &record, error));
+            RP_RETURN_IF_ERROR(reader->visit(reader->user, &record, error));
         }
         report->records++;
         offset += size;
@@ -390,7 +390,7 @@
     enum rp_code code = replay_records(path, data, len, reader, &report,
                                        error);
     g_free(data);
-    RP_FORWARD_IF_ERROR(code);
+    RP_RETURN_IF_ERROR(code);
     if (report.torn_bytes &&
         (ftruncate(journal->fd, (off_t)report.bytes) || fsync(journal->fd))) {
         return add_io_error(error, path, "cannot truncate the torn tail");
--- a/lib/state/rp_replica_startup.c
+++ b/lib/state/rp_replica_startup.c
@@ -47,7 +47,7 @@
         replica->role == RP_REPLICA_FOLLOWER &&
         RpReplica_IsVoter(replica, replica->id) && all_restarted(replica) &&
         RpReplica_CountVotes(replica) >= RpReplica_Quorum(replica)) {
-        RpReplica_StartElection(replica, now, RP_VOTE_AFTER_START);
+        RpReplica_StartElection(replica, now, RP_VOTE_ALL_RESTARTED);
     }
 }
 
@@ -62,7 +62,7 @@
     replica->startup_pre_vote_deadline = now + STARTUP_PRE_VOTE_INTERVAL_US;
     RpReplica_UpdatePeers(replica, now);
     RpReplica_SendVoteRequests(replica, replica->term + 1,
-                               RP_VOTE_START_TRIAL);
+                               RP_VOTE_STARTUP_PRE_VOTE);
 }
 
 /* Whether the candidate's log is more up to date than this replica's, or is
--- a/lib/state/rp_replica_vote.c
+++ b/lib/state/rp_replica_vote.c
@@ -34,7 +34,7 @@
                      .last_index = RpReplicaLog_LastIndex(replica),
                      .last_term = RpReplicaLog_LastTerm(replica)}};
         peer->vote_granted = false;
-        if (kind == RP_VOTE_START_TRIAL ||
+        if (kind == RP_VOTE_STARTUP_PRE_VOTE ||
             RpReplica_IsVoter(replica, peer->id)) {
             RpReplica_QueueMessage(replica, peer->id, &msg);
         }
@@ -63,7 +63,7 @@
     replica->leader_id = 0;
     RpReplica_ResetElectionTimer(replica, now);
     RpReplica_UpdatePeers(replica, now);
-    RpReplica_SendVoteRequests(replica, replica->term + 1, RP_VOTE_TRIAL);
+    RpReplica_SendVoteRequests(replica, replica->term + 1, RP_VOTE_PRE_VOTE);
     if (RpReplica_CountVotes(replica) >= RpReplica_Quorum(replica)) {
         RpReplica_StartElection(replica, now, RP_VOTE_REAL);
     }
@@ -128,7 +128,7 @@
      * votes only because a leader from before the start may still hold a
      * lease. A candidate that has found that every member has restarted
      * knows that no such leader exists. */
-    bool may_ignore_leader = vote->kind == RP_VOTE_AFTER_START &&
+    bool may_ignore_leader = vote->kind == RP_VOTE_ALL_RESTARTED &&
                              replica->no_leader_since_start;
     bool may_vote = may_ignore_leader || !has_live_leader(replica, now);
     bool granted = false;
@@ -152,14 +152,14 @@
                         const struct rp_msg_vote *vote)
 {
     switch ((enum rp_vote_kind)vote->kind) {
-    case RP_VOTE_START_TRIAL:
+    case RP_VOTE_STARTUP_PRE_VOTE:
         RpReplica_OnStartupPreVote(replica, vote);
         break;
-    case RP_VOTE_TRIAL:
+    case RP_VOTE_PRE_VOTE:
         handle_pre_vote(replica, now, vote);
         break;
     case RP_VOTE_REAL:
-    case RP_VOTE_AFTER_START:
+    case RP_VOTE_ALL_RESTARTED:
         handle_vote_request(replica, now, vote);
         break;
     }
@@ -210,14 +210,14 @@
         return;
     }
     switch ((enum rp_vote_kind)reply->kind) {
-    case RP_VOTE_START_TRIAL:
+    case RP_VOTE_STARTUP_PRE_VOTE:
         RpReplica_OnStartupPreVoteReply(replica, now, reply);
         break;
-    case RP_VOTE_TRIAL:
+    case RP_VOTE_PRE_VOTE:
         handle_pre_vote_reply(replica, now, peer, reply);
         break;
     case RP_VOTE_REAL:
-    case RP_VOTE_AFTER_START:
+    case RP_VOTE_ALL_RESTARTED:
         handle_vote_reply(replica, now, peer, reply);
         break;
     }
--- a/lib/wire/rp_codec.c
+++ b/lib/wire/rp_codec.c
@@ -19,7 +19,7 @@
 static const struct rp_codec_ops ipv4_ops = {
     .name = "ipv4",
     .protocol = RP_GENEVE_IPV4,
-    .framed = true,
+    .encapsulated = true,
     .parse = RpPacket_Parse,
     .make_reset = make_ipv4_reset,
     .make_segment = make_ipv4_segment,
--- a/lib/wire/rp_codec.h
+++ b/lib/wire/rp_codec.h
@@ -21,18 +21,18 @@
     /* Whether packets to and from the fabric and the host are encapsulated in
      * Geneve. If not, they are sent bare, and packets for a caller go to the
      * address of the caller. */
-    bool framed;
+    bool encapsulated;
     /* Parses a packet; `packet` borrows `data`. If the packet is invalid,
      * returns false and sets `*reason` to the drop counter. */
     bool (*parse)(const uint8_t *data, size_t len, struct rp_packet *packet,
                   enum rp_counter *reason);
     /* Returns the caller's endpoint from a bare packet to a caller. NULL if
      * packets are encapsulated: then the fabric routes them to the caller. */
-    struct rp_endpoint (*target)(const uint8_t *data);
+    struct rp_endpoint (*destination)(const uint8_t *data);
     /* Returns whether the host returned this packet of a caller, and clears
      * the mark that says so, so that the packet can be sent to another host.
      * NULL if hosts refuse packets with a reset instead. */
-    bool (*take_back)(uint8_t *data, size_t len);
+    bool (*clear_returned_mark)(uint8_t *data, size_t len);
     /* Returns the caller's id of the request that begins in this packet, for
      * the log; empty if it has none. The result points into the packet. NULL
      * if the format has no request ids. */
--- a/lib/wire/rp_msg.c
+++ b/lib/wire/rp_msg.c
@@ -435,7 +435,7 @@
     size_t offset = 0;
 
     memset(msg, 0, sizeof *msg);
-    if (!RpSchema_IsSane(bytes)) {
+    if (!RpSchema_IsWellFormed(bytes)) {
         return false;
     }
     msgpack_unpacked_init(&unpacked);
--- a/lib/wire/rp_msg.h
+++ b/lib/wire/rp_msg.h
@@ -339,7 +339,7 @@
 enum rp_entry_kind {
     RP_ENTRY_COMMAND = 1, /* command for the state machine */
     RP_ENTRY_MEMBERS,     /* an encoded struct rp_replica_members */
-    RP_ENTRY_NOTHING      /* no-op entry at the start of a leader's term */
+    RP_ENTRY_NOOP         /* no-op entry at the start of a leader's term */
 };
 
 /* One entry of the replicated log. */
@@ -368,11 +368,11 @@
 /* Kinds of vote requests. */
 enum rp_vote_kind {
     RP_VOTE_REAL,
-    RP_VOTE_TRIAL,       /* pre-vote: raises no term */
-    RP_VOTE_START_TRIAL, /* pre-vote of a replica that has just started */
+    RP_VOTE_PRE_VOTE,         /* pre-vote: raises no term */
+    RP_VOTE_STARTUP_PRE_VOTE, /* pre-vote of a replica that has just started */
     /* A real vote, requested by a candidate that knows that every member's
      * process has restarted, so that no earlier leader is left. */
-    RP_VOTE_AFTER_START
+    RP_VOTE_ALL_RESTARTED
 };
 
 /* Vote request. Messages between replicas carry the ids of the sender and
--- a/lib/wire/rp_packet.h
+++ b/lib/wire/rp_packet.h
@@ -46,7 +46,7 @@
     uint8_t flags;
     /* How many times the caller has sent this SYN before; 0 in formats
      * without this field. */
-    uint32_t copy;
+    uint32_t syn_retransmits;
     /* Time since the caller sent this SYN first, in microseconds; 0 in
      * formats without this field. */
     uint32_t waited_us;
@@ -84,7 +84,7 @@
 }
 
 static inline struct rp_endpoint
-RpFlowKey_Target(struct rp_flow_key key)
+RpFlowKey_Destination(struct rp_flow_key key)
 {
     return (struct rp_endpoint){.ip = key.dst_ip, .port = key.dst_port};
 }
--- a/lib/wire/rp_schema.c
+++ b/lib/wire/rp_schema.c
@@ -191,7 +191,7 @@
 }
 
 bool
-RpSchema_IsSane(struct rp_str bytes)
+RpSchema_IsWellFormed(struct rp_str bytes)
 {
     struct reader reader = {.next = (const uint8_t *)bytes.data,
                             .left = bytes.len};
@@ -336,7 +336,7 @@
     size_t offset = 0;
 
     memset(data, 0, schema->size);
-    if (!RpSchema_IsSane(bytes)) {
+    if (!RpSchema_IsWellFormed(bytes)) {
         return false;
     }
     msgpack_unpacked_init(&unpacked);
--- a/lib/wire/rp_schema.h
+++ b/lib/wire/rp_schema.h
@@ -68,7 +68,7 @@
  * unsigned numbers, byte strings and arrays only, with no array whose header
  * claims more elements than bytes are left. The msgpack library allocates
  * memory by that claim, so call this before the library decodes input. */
-bool RpSchema_IsSane(struct rp_str bytes);
+bool RpSchema_IsWellFormed(struct rp_str bytes);
 
 /* Writes the struct at `data` to `packer`. */
 void RpSchema_Pack(const struct rp_schema *schema, const void *data,
--- a/programs/daemon/agent_log.c
+++ b/programs/daemon/agent_log.c
@@ -47,7 +47,7 @@
 
     g_string_append(out, RpEndpoint_Format(RpFlowKey_Source(flow), text));
     g_string_append_c(out, '>');
-    g_string_append(out, RpEndpoint_Format(RpFlowKey_Target(flow), text));
+    g_string_append(out, RpEndpoint_Format(RpFlowKey_Destination(flow), text));
 }
 
 /* Returns the flow that an action concerns, from the caller's side. */
--- a/programs/daemon/rp_daemon.c
+++ b/programs/daemon/rp_daemon.c
@@ -102,7 +102,7 @@
 {
     struct rp_daemon *daemon = data;
 
-    RpLog_Report(daemon->log);
+    RpLog_ReportSuppressed(daemon->log);
     daemon->counters.value[RP_COUNT_LOG_LINES_LOST] = RpLog_Lost(daemon->log);
     return G_SOURCE_CONTINUE;
 }
--- a/programs/shared/rp_keyfile.c
+++ b/programs/shared/rp_keyfile.c
@@ -73,7 +73,7 @@
     gsize len = 0;
 
     memset(keyring, 0, sizeof *keyring);
-    RP_FORWARD_IF_ERROR(check_permissions(path, error));
+    RP_RETURN_IF_ERROR(check_permissions(path, error));
     if (!g_file_get_contents(path, &content, &len, NULL)) {
         return RpError_Add(error, RP_ERR_SETTING, path, "cannot read");
     }
--- a/tests/unit/test_platform_packet.c
+++ b/tests/unit/test_platform_packet.c
@@ -40,10 +40,10 @@
     assert_int_equal(packet.key.dst_port, 443);
     assert_int_equal(packet.seq, 0x11223344);
     assert_int_equal(packet.flags, RP_TCP_SYN);
-    assert_int_equal(packet.copy, 0);
+    assert_int_equal(packet.syn_retransmits, 0);
     assert_int_equal(ops()->make_reset(&packet, out), HEADER_SIZE);
     assert_memory_equal(out, reset, HEADER_SIZE);
-    assert_int_equal(ops()->target(out).ip, 0x64400007);
+    assert_int_equal(ops()->destination(out).ip, 0x64400007);
 }
 
 /* A reset on an open flow has the sequence number that the caller expects
@@ -101,11 +101,11 @@
 
     (void)state;
     memcpy(bytes, syn, HEADER_SIZE);
-    assert_false(ops()->take_back(bytes, HEADER_SIZE));
+    assert_false(ops()->clear_returned_mark(bytes, HEADER_SIZE));
     assert_memory_equal(bytes, syn, HEADER_SIZE);
     bytes[24] |= 0x20;
-    assert_false(ops()->take_back(bytes, HEADER_SIZE - 1));
-    assert_true(ops()->take_back(bytes, HEADER_SIZE));
+    assert_false(ops()->clear_returned_mark(bytes, HEADER_SIZE - 1));
+    assert_true(ops()->clear_returned_mark(bytes, HEADER_SIZE));
     assert_memory_equal(bytes, syn, HEADER_SIZE);
 }
 
@@ -121,11 +121,11 @@
     memcpy(bytes, syn, HEADER_SIZE);
     bytes[23] = 2;
     assert_true(ops()->parse(bytes, HEADER_SIZE, &packet, &reason));
-    assert_int_equal(packet.copy, 2);
+    assert_int_equal(packet.syn_retransmits, 2);
     assert_int_equal(packet.waited_us, 600000);
     bytes[24] = 0x04;
     assert_true(ops()->parse(bytes, HEADER_SIZE, &packet, &reason));
-    assert_int_equal(packet.copy, 0);
+    assert_int_equal(packet.syn_retransmits, 0);
     assert_int_equal(packet.waited_us, 0);
 }
 
--- a/tests/unit/test_wire.c
+++ b/tests/unit/test_wire.c
@@ -364,7 +364,7 @@
 
     (void)state;
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
-        assert_int_equal(RpSchema_IsSane((struct rp_str){
+        assert_int_equal(RpSchema_IsWellFormed((struct rp_str){
                              .data = cases[i].bytes, .len = cases[i].len}),
                          cases[i].well_formed);
     }
