--- a/programs/cli/cli.c
+++ b/programs/cli/cli.c
@@ -144,8 +144,9 @@
 }
 
 bool
-RpCli_Ask(const struct rp_cli_settings *settings, const struct rp_msg *request,
-          enum rp_msg_type wanted, struct rp_msg *answer, int *exit_code)
+RpCli_SendRequest(const struct rp_cli_settings *settings,
+                  const struct rp_msg *request, enum rp_msg_type wanted,
+                  struct rp_msg *answer, int *exit_code)
 {
     struct rp_keyring keyring;
     struct rp_counters counters = {0};
@@ -213,7 +214,7 @@
 }
 
 bool
-RpCli_MayColour(void)
+RpCli_IsColourAllowed(void)
 {
     return isatty(STDOUT_FILENO) && !getenv("NO_COLOR");
 }
--- a/programs/cli/cli.h
+++ b/programs/cli/cli.h
@@ -60,18 +60,18 @@
  * with a message of type `wanted` or settings->timeout_seconds have passed.
  * On success returns true, and the caller clears `*answer` with RpMsg_Clear.
  * On failure prints the reason to stderr and sets `*exit_code`. */
-bool RpCli_Ask(const struct rp_cli_settings *settings,
-               const struct rp_msg *request, enum rp_msg_type wanted,
-               struct rp_msg *answer, int *exit_code);
+bool RpCli_SendRequest(const struct rp_cli_settings *settings,
+                       const struct rp_msg *request, enum rp_msg_type wanted,
+                       struct rp_msg *answer, int *exit_code);
 
 /* Asks every control instance for its status and merges the answers, because
  * each instance knows only the nodes that are connected to it. `only` limits
  * the status to one service; NULL means all services. Returns true if at
  * least one instance answered; the caller then clears `*answer` with
  * RpMsg_Clear. Sets `*exit_code` if no instance answered. */
-bool RpCli_AskStatus(const struct rp_cli_settings *settings,
-                     const struct rp_name *only, struct rp_msg *answer,
-                     int *exit_code);
+bool RpCli_FetchStatus(const struct rp_cli_settings *settings,
+                       const struct rp_name *only, struct rp_msg *answer,
+                       int *exit_code);
 
 /* Returns the number of connected nodes, and sets `*behind` to how many of
  * them run a revision older than `revision`. */
@@ -87,7 +87,7 @@
 
 /* Returns whether output may have colours: standard output is a terminal, and
  * NO_COLOR is not set. */
-bool RpCli_MayColour(void);
+bool RpCli_IsColourAllowed(void);
 
 /* The commands. argv[0] is the last word of the command's name, the arguments
  * follow. Each returns the exit code. */
--- a/programs/cli/service_change.c
+++ b/programs/cli/service_change.c
@@ -84,7 +84,8 @@
         .query = {.kind = RP_QUERY_DOCUMENT, .service = *service}};
     struct rp_msg answer;
 
-    if (!RpCli_Ask(settings, &request, RP_MSG_DOCUMENT, &answer, exit_code)) {
+    if (!RpCli_SendRequest(settings, &request, RP_MSG_DOCUMENT, &answer,
+                           exit_code)) {
         return false;
     }
     *revision = answer.document.revision;
@@ -180,7 +181,7 @@
     do {
         struct rp_msg answer;
         int ignored;
-        if (!RpCli_AskStatus(&settings->cli, NULL, &answer, &ignored)) {
+        if (!RpCli_FetchStatus(&settings->cli, NULL, &answer, &ignored)) {
             return;
         }
         nodes = RpCli_CountNodes(&answer.status, revision, &behind);
@@ -201,8 +202,8 @@
     int exit_code;
 
     sodium_bin2hex(id, sizeof id, request->change.id, RP_CHANGE_ID_SIZE);
-    if (!RpCli_Ask(&settings->cli, request, RP_MSG_CHANGE_REPLY, &answer,
-                   &exit_code)) {
+    if (!RpCli_SendRequest(&settings->cli, request, RP_MSG_CHANGE_REPLY,
+                           &answer, &exit_code)) {
         fprintf(
             stderr,
             "unknown whether the change was applied: repeat with --id %s\n",
--- a/programs/cli/show.c
+++ b/programs/cli/show.c
@@ -26,7 +26,7 @@
 static void
 print_heading(const char *text)
 {
-    if (RpCli_MayColour()) {
+    if (RpCli_IsColourAllowed()) {
         printf(BOLD "%s" RESET_STYLE "\n", text);
     }
     else {
@@ -96,8 +96,8 @@
                             argc, argv, &settings, &exit_code)) {
         return exit_code;
     }
-    if (!RpCli_Ask(&settings.cli, &request, RP_MSG_SERVICES, &answer,
-                   &exit_code)) {
+    if (!RpCli_SendRequest(&settings.cli, &request, RP_MSG_SERVICES, &answer,
+                           &exit_code)) {
         return exit_code;
     }
     if (settings.cli.json) {
@@ -148,8 +148,8 @@
             argc, argv, "radishport service get",
             "Prints a service's document as it was accepted.", &settings,
             &request, &exit_code) ||
-        !RpCli_Ask(&settings.cli, &request, RP_MSG_DOCUMENT, &answer,
-                   &exit_code)) {
+        !RpCli_SendRequest(&settings.cli, &request, RP_MSG_DOCUMENT, &answer,
+                           &exit_code)) {
         return exit_code;
     }
     const struct rp_msg_document *document = &answer.document;
@@ -297,7 +297,7 @@
 static void
 print_upstreams(const GArray *rows)
 {
-    bool colour = RpCli_MayColour();
+    bool colour = RpCli_IsColourAllowed();
 
     print_heading("UPSTREAM           SERVICE            ZONE       STATE    "
                   " SLOTS  FLOWS   BUSY");
@@ -350,8 +350,8 @@
             "Shows a service's upstreams, the current revision and the "
             "nodes that run an older one.",
             &settings, &request, &exit_code) ||
-        !RpCli_AskStatus(&settings.cli, &request.query.service, &answer,
-                         &exit_code)) {
+        !RpCli_FetchStatus(&settings.cli, &request.query.service, &answer,
+                           &exit_code)) {
         return exit_code;
     }
     exit_code = RP_CLI_OK;
@@ -380,7 +380,7 @@
             common_table, G_N_ELEMENTS(common_table), "radishport status",
             "Shows the replicas, nodes, services and upstreams.", argc, argv,
             &settings, &exit_code) ||
-        !RpCli_AskStatus(&settings.cli, NULL, &answer, &exit_code)) {
+        !RpCli_FetchStatus(&settings.cli, NULL, &answer, &exit_code)) {
         return exit_code;
     }
     if (settings.cli.json) {
--- a/programs/cli/status_merge.c
+++ b/programs/cli/status_merge.c
@@ -61,9 +61,9 @@
 }
 
 bool
-RpCli_AskStatus(const struct rp_cli_settings *settings,
-                const struct rp_name *only, struct rp_msg *answer,
-                int *exit_code)
+RpCli_FetchStatus(const struct rp_cli_settings *settings,
+                  const struct rp_name *only, struct rp_msg *answer,
+                  int *exit_code)
 {
     struct rp_msg request = {.type = RP_MSG_QUERY,
                              .query = {.kind = RP_QUERY_STATUS}};
@@ -84,7 +84,8 @@
         single.controls.item[0] = settings->controls.item[i];
         single.timeout_seconds = MIN(settings->timeout_seconds,
                                      INSTANCE_TIMEOUT_SECONDS);
-        if (!RpCli_Ask(&single, &request, RP_MSG_STATUS, &part, exit_code)) {
+        if (!RpCli_SendRequest(&single, &request, RP_MSG_STATUS, &part,
+                               exit_code)) {
             unresponsive[i] = true;
             continue;
         }
--- a/programs/cli/upstream.c
+++ b/programs/cli/upstream.c
@@ -43,8 +43,8 @@
         single.controls.count = 1;
         single.controls.item[0] = settings->cli.controls.item[i];
         single.timeout_seconds = 1;
-        if (!RpCli_Ask(&single, &request, RP_MSG_ORDER_REPLY, &answer,
-                       &exit_code)) {
+        if (!RpCli_SendRequest(&single, &request, RP_MSG_ORDER_REPLY, &answer,
+                               &exit_code)) {
             continue;
         }
         if (answer.order_reply.code == RP_OK) {
@@ -68,7 +68,7 @@
     int exit_code;
     int64_t flows = -1;
 
-    if (!RpCli_AskStatus(&settings->cli, NULL, &answer, &exit_code)) {
+    if (!RpCli_FetchStatus(&settings->cli, NULL, &answer, &exit_code)) {
         return -1;
     }
     for (guint i = 0; i < answer.status.upstreams->len; i++) {
--- a/tests/measure/flow_model.c
+++ b/tests/measure/flow_model.c
@@ -65,10 +65,10 @@
 };
 
 struct model {
-    const struct scene *scene;
+    const struct scenario *scenario;
     enum policy policy;
     struct heap heap;
-    GRand *dice;
+    GRand *rng;
     GArray *requests; /* of struct request */
     struct host hosts[MAX_HOSTS];
     GQueue shared_short; /* queues of the ideal policies */
@@ -104,21 +104,21 @@
         wanted = 5;
         break;
     default:
-        wanted = model->scene->hosts;
+        wanted = model->scenario->hosts;
     }
-    return MIN(wanted, model->scene->hosts);
+    return MIN(wanted, model->scenario->hosts);
 }
 
 static void
 shuffle_chain(struct model *model, struct request *request)
 {
-    uint32_t hosts = model->scene->hosts;
+    uint32_t hosts = model->scenario->hosts;
 
     for (uint32_t i = 0; i < hosts; i++) {
         request->chain[i] = i;
     }
     for (uint32_t i = hosts - 1; i > 0; i--) {
-        uint32_t j = (uint32_t)g_rand_int_range(model->dice, 0, (gint32)i + 1);
+        uint32_t j = (uint32_t)g_rand_int_range(model->rng, 0, (gint32)i + 1);
         uint32_t swap = request->chain[i];
         request->chain[i] = request->chain[j];
         request->chain[j] = swap;
@@ -129,19 +129,20 @@
 set_busy(struct model *model, uint32_t number, uint32_t serving, int64_t now)
 {
     model->hosts[number].serving = serving;
-    balance_set(&model->balance, model->scene, now, number, serving);
+    balance_record(&model->balance, model->scenario, now, number, serving);
 }
 
 static void
 start_service(struct model *model, uint32_t number, uint32_t host, int64_t now)
 {
     struct request *request = get_request(model, number);
-    int64_t service = slowed(model->scene, host, request->service, now);
+    int64_t service = scale_service_time(model->scenario, host,
+                                         request->service, now);
 
     request->host = host;
     set_busy(model, host, model->hosts[host].serving + 1, now);
-    note_wait(model->outcome, request->arrived,
-              now - request->data + request->hops, request->is_long);
+    record_wait(model->outcome, request->arrived,
+                now - request->data + request->hops, request->is_long);
     heap_push(&model->heap, now + service, EV_DONE, number, host);
 }
 
@@ -158,8 +159,8 @@
 {
     int best = -1;
 
-    for (uint32_t i = 0; i < model->scene->hosts; i++) {
-        if (model->hosts[i].serving < model->scene->slots &&
+    for (uint32_t i = 0; i < model->scenario->hosts; i++) {
+        if (model->hosts[i].serving < model->scenario->slots &&
             (best < 0 ||
              model->hosts[i].serving < model->hosts[best].serving)) {
             best = (int)i;
@@ -189,7 +190,7 @@
 {
     struct host *self = &model->hosts[host];
 
-    while (self->serving < model->scene->slots && self->queue.length) {
+    while (self->serving < model->scenario->slots && self->queue.length) {
         start_service(model, GPOINTER_TO_UINT(g_queue_pop_head(&self->queue)),
                       host, now);
     }
@@ -202,7 +203,7 @@
     struct request *request = get_request(model, number);
 
     request->host = host;
-    request->data = now + model->scene->round_trip_us;
+    request->data = now + model->scenario->round_trip_us;
     if (model->policy != POLICY_LEAST_ALL_LATE) {
         model->hosts[host].counted++;
     }
@@ -232,7 +233,7 @@
 {
     uint32_t best = request->chain[0];
 
-    for (uint32_t i = 1; i < model->scene->hosts; i++) {
+    for (uint32_t i = 1; i < model->scenario->hosts; i++) {
         uint32_t other = request->chain[i];
         if (model->hosts[other].counted < model->hosts[best].counted) {
             best = other;
@@ -263,7 +264,7 @@
     uint32_t host = request->chain[request->position];
     uint32_t length = chain_length(model);
     const struct rp_load load = {
-        .slots = model->scene->slots,
+        .slots = model->scenario->slots,
         .busy = model->hosts[host].counted,
         .flow_limit = UINT32_MAX,
         .position = request->position,
@@ -299,9 +300,9 @@
         }
         next = request->chain[++request->position];
     }
-    int64_t hop = hop_time(model->scene, host, next);
+    int64_t hop = hop_delay(model->scenario, host, next);
     request->hops += hop;
-    model->outcome->retried++;
+    model->outcome->passed_on++;
     heap_push(&model->heap, now + hop, EV_OFFER, number, 0);
 }
 
@@ -334,14 +335,14 @@
         break;
     case POLICY_REPORT1:
         admit_flow(model, number,
-                   find_least_reported(model, request, model->scene->hosts),
+                   find_least_reported(model, request, model->scenario->hosts),
                    now);
         break;
     case POLICY_REPORT2:
         admit_flow(model, number, find_least_reported(model, request, 2), now);
         break;
     case POLICY_ASK_ALL:
-        request->hops = 2 * model->scene->zone_hop_us;
+        request->hops = 2 * model->scenario->zone_hop_us;
         admit_flow(model, number, find_least_counted(model, request), now);
         break;
     default:
@@ -354,10 +355,11 @@
 {
     struct request request = {.arrived = now,
                               .lowest_utilisation = RP_UTILISATION_MAX};
-    int64_t next = next_arrival(model->scene, model->dice, now);
+    int64_t next = next_arrival(model->scenario, model->rng, now);
 
-    request.is_long = g_rand_double(model->dice) < model->scene->long_share;
-    request.service = draw_service(model->scene, model->dice, request.is_long);
+    request.is_long = g_rand_double(model->rng) < model->scenario->long_share;
+    request.service = draw_service(model->scenario, model->rng,
+                                   request.is_long);
     shuffle_chain(model, &request);
     g_array_append_val(model->requests, request);
     if (next < RUN_US) {
@@ -381,10 +383,10 @@
 static void
 report_loads(struct model *model, int64_t now)
 {
-    for (uint32_t i = 0; i < model->scene->hosts; i++) {
+    for (uint32_t i = 0; i < model->scenario->hosts; i++) {
         model->hosts[i].reported = model->hosts[i].counted;
     }
-    if (model->scene->lies) {
+    if (model->scenario->reports_zero_load) {
         model->hosts[0].reported = 0;
     }
     if (now < RUN_US) {
@@ -421,13 +423,13 @@
 }
 
 void
-run_flow_model(const struct scene *scene, size_t policy, uint32_t seed,
+run_flow_model(const struct scenario *scenario, size_t policy, uint32_t seed,
                struct outcome *outcome)
 {
     struct model model = {
-        .scene = scene,
+        .scenario = scenario,
         .policy = (enum policy)policy,
-        .dice = g_rand_new_with_seed(seed),
+        .rng = g_rand_new_with_seed(seed),
         .requests = g_array_new(FALSE, FALSE, sizeof(struct request)),
         .outcome = outcome};
     struct event event;
@@ -444,5 +446,5 @@
     RpAdmission_Free(model.admission);
     heap_clear(&model.heap);
     g_array_free(model.requests, TRUE);
-    g_rand_free(model.dice);
+    g_rand_free(model.rng);
 }
--- a/tests/measure/heap.c
+++ b/tests/measure/heap.c
@@ -15,9 +15,9 @@
 heap_push(struct heap *heap, int64_t time, int kind, uint32_t subject,
           uint32_t detail)
 {
-    if (heap->count == heap->room) {
-        heap->room = heap->room ? heap->room * 2 : FIRST_CAPACITY;
-        heap->events = g_renew(struct event, heap->events, heap->room);
+    if (heap->count == heap->capacity) {
+        heap->capacity = heap->capacity ? heap->capacity * 2 : FIRST_CAPACITY;
+        heap->events = g_renew(struct event, heap->events, heap->capacity);
     }
     struct event event = {.time = time,
                           .order = heap->next_order++,
--- a/tests/measure/heap.h
+++ b/tests/measure/heap.h
@@ -18,7 +18,7 @@
 struct heap {
     struct event *events;
     size_t count;
-    size_t room;
+    size_t capacity;
     uint64_t next_order;
 };
 
--- a/tests/measure/model.c
+++ b/tests/measure/model.c
@@ -7,8 +7,8 @@
 #include <stdlib.h>
 
 #define PEAK_PERIOD_US INT64_C(10000000)
-#define CREST_FROM_US INT64_C(6000000)
-#define CREST_TO_US INT64_C(8500000)
+#define PEAK_FROM_US INT64_C(6000000)
+#define PEAK_TO_US INT64_C(8500000)
 #define SAME_ZONE_HOP_US 200
 #define COLD_FACTOR 4
 #define US_PER_MS 1000.0
@@ -16,9 +16,9 @@
 /* Networks and demand that several scenarios share. */
 #define THREE_ZONES .zones = 3, .zone_hop_us = 1500, .round_trip_us = 2000
 #define FOUR_ZONES .zones = 4, .zone_hop_us = 1000, .round_trip_us = 6000
-#define DEMAND_85 .base_load = 0.25, .crest_load = 0.85, .long_share = 0.01
+#define DEMAND_85 .base_load = 0.25, .peak_load = 0.85, .long_share = 0.01
 
-const struct scene scenes[] = {
+const struct scenario scenarios[] = {
     {.name = "lens-desk", .hosts = 7, .slots = 7, THREE_ZONES, DEMAND_85},
     {.name = "photo-shelf", .hosts = 3, .slots = 7, THREE_ZONES, DEMAND_85},
     {.name = "nacrt-live", .hosts = 7, .slots = 3, FOUR_ZONES, DEMAND_85},
@@ -28,14 +28,14 @@
      .slots = 7,
      THREE_ZONES,
      .base_load = 0.25,
-     .crest_load = 0.70,
+     .peak_load = 0.70,
      .long_share = 0.01},
     {.name = "lens-desk-slow",
      .hosts = 7,
      .slots = 7,
      THREE_ZONES,
      .base_load = 0.25,
-     .crest_load = 0.70,
+     .peak_load = 0.70,
      .long_share = 0.01,
      .slow_host = 3},
     {.name = "lens-desk-cold",
@@ -43,7 +43,7 @@
      .slots = 7,
      THREE_ZONES,
      .base_load = 0.25,
-     .crest_load = 0.70,
+     .peak_load = 0.70,
      .long_share = 0.01,
      .cold_until = INT64_C(18000000)},
     {.name = "lens-desk-lies",
@@ -51,17 +51,17 @@
      .slots = 7,
      THREE_ZONES,
      .base_load = 0.25,
-     .crest_load = 0.70,
+     .peak_load = 0.70,
      .long_share = 0.01,
-     .lies = true},
+     .reports_zero_load = true},
 };
-const size_t scene_count = G_N_ELEMENTS(scenes);
+const size_t scenario_count = G_N_ELEMENTS(scenarios);
 
 void
 outcome_init(struct outcome *outcome)
 {
     *outcome = (struct outcome){
-        .crest_waits = g_array_new(FALSE, FALSE, sizeof(int64_t)),
+        .peak_waits = g_array_new(FALSE, FALSE, sizeof(int64_t)),
         .waits = g_array_new(FALSE, FALSE, sizeof(int64_t)),
         .long_waits = g_array_new(FALSE, FALSE, sizeof(int64_t))};
 }
@@ -69,74 +69,77 @@
 void
 outcome_clear(struct outcome *outcome)
 {
-    g_array_free(outcome->crest_waits, TRUE);
+    g_array_free(outcome->peak_waits, TRUE);
     g_array_free(outcome->waits, TRUE);
     g_array_free(outcome->long_waits, TRUE);
 }
 
 bool
-is_crest(int64_t now)
+is_peak(int64_t now)
 {
     int64_t phase = now % PEAK_PERIOD_US;
 
-    return now >= WARM_UP_US && phase >= CREST_FROM_US && phase < CREST_TO_US;
+    return now >= WARM_UP_US && phase >= PEAK_FROM_US && phase < PEAK_TO_US;
 }
 
 static double
-mean_service(const struct scene *scene)
+mean_service(const struct scenario *scenario)
 {
     return SHORT_MEAN_US *
-           (1 - scene->long_share + scene->long_share * LONG_FACTOR);
+           (1 - scenario->long_share + scenario->long_share * LONG_FACTOR);
 }
 
 int64_t
-next_arrival(const struct scene *scene, GRand *dice, int64_t now)
+next_arrival(const struct scenario *scenario, GRand *rng, int64_t now)
 {
-    double slots = (double)scene->hosts * scene->slots;
-    double top = scene->crest_load * slots / mean_service(scene);
-    double base_share = scene->base_load / scene->crest_load;
+    double slots = (double)scenario->hosts * scenario->slots;
+    double top = scenario->peak_load * slots / mean_service(scenario);
+    double base_share = scenario->base_load / scenario->peak_load;
 
     for (;;) {
-        now += (int64_t)(-log(1 - g_rand_double(dice)) / top) + 1;
+        now += (int64_t)(-log(1 - g_rand_double(rng)) / top) + 1;
         int64_t phase = now % PEAK_PERIOD_US;
-        bool crest = phase >= CREST_FROM_US && phase < CREST_TO_US;
-        if (crest || g_rand_double(dice) < base_share) {
+        bool peak = phase >= PEAK_FROM_US && phase < PEAK_TO_US;
+        if (peak || g_rand_double(rng) < base_share) {
             return now;
         }
     }
 }
 
 int64_t
-draw_service(const struct scene *scene, GRand *dice, bool is_long)
+draw_service(const struct scenario *scenario, GRand *rng, bool is_long)
 {
-    (void)scene;
+    (void)scenario;
     if (is_long) {
         return (int64_t)(SHORT_MEAN_US * LONG_FACTOR);
     }
-    return (int64_t)(-log(1 - g_rand_double(dice)) * SHORT_MEAN_US) + 1;
+    return (int64_t)(-log(1 - g_rand_double(rng)) * SHORT_MEAN_US) + 1;
 }
 
 int64_t
-slowed(const struct scene *scene, uint32_t host, int64_t service, int64_t now)
+scale_service_time(const struct scenario *scenario, uint32_t host,
+                   int64_t service, int64_t now)
 {
-    if (host == 0 && scene->slow_host) {
-        return service * scene->slow_host;
+    if (host == 0 && scenario->slow_host) {
+        return service * scenario->slow_host;
     }
-    if (host == 0 && now < scene->cold_until) {
+    if (host == 0 && now < scenario->cold_until) {
         return service * COLD_FACTOR;
     }
     return service;
 }
 
 int64_t
-hop_time(const struct scene *scene, uint32_t from, uint32_t to)
+hop_delay(const struct scenario *scenario, uint32_t from, uint32_t to)
 {
-    return from % scene->zones == to % scene->zones ? SAME_ZONE_HOP_US
-                                                    : scene->zone_hop_us;
+    return from % scenario->zones == to % scenario->zones
+               ? SAME_ZONE_HOP_US
+               : scenario->zone_hop_us;
 }
 
 void
-note_wait(struct outcome *outcome, int64_t arrived, int64_t wait, bool is_long)
+record_wait(struct outcome *outcome, int64_t arrived, int64_t wait,
+            bool is_long)
 {
     if (arrived < WARM_UP_US) {
         return;
@@ -147,8 +150,8 @@
         return;
     }
     g_array_append_val(outcome->waits, wait);
-    if (is_crest(arrived)) {
-        g_array_append_val(outcome->crest_waits, wait);
+    if (is_peak(arrived)) {
+        g_array_append_val(outcome->peak_waits, wait);
     }
 }
 
@@ -161,36 +164,36 @@
 }
 
 static void
-end_crest(struct balance *balance, const struct scene *scene, int64_t now)
+end_peak(struct balance *balance, const struct scenario *scenario, int64_t now)
 {
     double sum = 0;
     double max = 0;
 
-    for (uint32_t i = 0; i < scene->hosts; i++) {
+    for (uint32_t i = 0; i < scenario->hosts; i++) {
         add_busy_time(balance, i, now);
         sum += balance->busy_time[i];
         max = MAX(max, balance->busy_time[i]);
     }
-    balance->ratio_sum += max * scene->hosts / sum;
-    balance->crests++;
+    balance->ratio_sum += max * scenario->hosts / sum;
+    balance->peaks++;
 }
 
 void
-balance_set(struct balance *balance, const struct scene *scene, int64_t now,
-            uint32_t host, uint32_t busy)
+balance_record(struct balance *balance, const struct scenario *scenario,
+               int64_t now, uint32_t host, uint32_t busy)
 {
-    bool crest = is_crest(now);
+    bool peak = is_peak(now);
 
-    if (crest && !balance->in_crest) {
-        for (uint32_t i = 0; i < scene->hosts; i++) {
+    if (peak && !balance->in_peak) {
+        for (uint32_t i = 0; i < scenario->hosts; i++) {
             balance->busy_time[i] = 0;
             balance->since[i] = now;
         }
     }
-    if (!crest && balance->in_crest) {
-        end_crest(balance, scene, now);
+    if (!peak && balance->in_peak) {
+        end_peak(balance, scenario, now);
     }
-    balance->in_crest = crest;
+    balance->in_peak = peak;
     add_busy_time(balance, host, now);
     balance->busy[host] = busy;
 }
@@ -198,7 +201,7 @@
 double
 balance_result(const struct balance *balance)
 {
-    return balance->crests ? balance->ratio_sum / balance->crests : 0;
+    return balance->peaks ? balance->ratio_sum / balance->peaks : 0;
 }
 
 static int
@@ -225,17 +228,17 @@
 struct summary
 summarise(struct outcome *outcome)
 {
-    g_array_sort(outcome->crest_waits, compare_waits);
+    g_array_sort(outcome->peak_waits, compare_waits);
     g_array_sort(outcome->waits, compare_waits);
     g_array_sort(outcome->long_waits, compare_waits);
-    return (struct summary){.p50 = quantile(outcome->crest_waits, 0.50),
-                            .p99 = quantile(outcome->crest_waits, 0.99),
-                            .p999 = quantile(outcome->crest_waits, 0.999),
+    return (struct summary){.p50 = quantile(outcome->peak_waits, 0.50),
+                            .p99 = quantile(outcome->peak_waits, 0.99),
+                            .p999 = quantile(outcome->peak_waits, 0.999),
                             .all_p99 = quantile(outcome->waits, 0.99),
                             .long_p99 = quantile(outcome->long_waits, 0.99),
                             .imbalance = outcome->imbalance,
-                            .retried = (double)outcome->retried /
-                                       (double)MAX(outcome->requests, 1)};
+                            .passed_on = (double)outcome->passed_on /
+                                         (double)MAX(outcome->requests, 1)};
 }
 
 static int
@@ -267,14 +270,14 @@
 }
 
 void
-print_summary(const char *scene, const char *policy, const char *seed,
+print_summary(const char *scenario, const char *policy, const char *seed,
               const struct summary *summary)
 {
     printf("measure scene=%s policy=%s seed=%s broken=0 imbalance=%.2f "
            "short_p50_ms=%.1f short_p99_ms=%.1f short_p999_ms=%.1f "
            "overall_p99_ms=%.1f long_p99_ms=%.1f refused=0 "
            "passed_per_flow=%.2f\n",
-           scene, policy, seed, summary->imbalance, summary->p50, summary->p99,
-           summary->p999, summary->all_p99, summary->long_p99,
-           summary->retried);
+           scenario, policy, seed, summary->imbalance, summary->p50,
+           summary->p99, summary->p999, summary->all_p99, summary->long_p99,
+           summary->passed_on);
 }
--- a/tests/measure/model.h
+++ b/tests/measure/model.h
@@ -17,7 +17,7 @@
 
 /* A simulated service: its hosts, network and demand. Demand is low with a
  * peak in each period. */
-struct scene {
+struct scenario {
     const char *name;
     uint32_t hosts;
     uint32_t slots;        /* of each host */
@@ -25,21 +25,21 @@
     int64_t zone_hop_us;   /* one way between zones */
     int64_t round_trip_us; /* between caller and host */
     double base_load;      /* utilisation between peaks, 0 to 1 */
-    double crest_load;     /* utilisation at the peak, 0 to 1 */
+    double peak_load;      /* utilisation at the peak, 0 to 1 */
     double long_share;     /* share of long requests, 0 to 1 */
     uint32_t slow_host;    /* 0: none; else host 0 is this many times slower */
     int64_t cold_until;    /* host 0 is slow until this time */
-    bool lies;             /* host 0 always reports zero load */
+    bool reports_zero_load; /* host 0 always reports zero load */
 };
 
 /* Results of one run. Waits are in microseconds. */
 struct outcome {
-    GArray *crest_waits; /* int64_t: short requests that arrive in a peak */
-    GArray *waits;       /* int64_t: all short requests */
-    GArray *long_waits;  /* int64_t: all long requests */
+    GArray *peak_waits; /* int64_t: short requests that arrive in a peak */
+    GArray *waits;      /* int64_t: all short requests */
+    GArray *long_waits; /* int64_t: all long requests */
     double imbalance; /* most over mean busy slots of hosts, mean over peaks */
     uint64_t refused;
-    uint64_t retried; /* times that a candidate passed a flow on */
+    uint64_t passed_on; /* times that a candidate passed a flow on */
     uint64_t requests;
 };
 
@@ -54,36 +54,37 @@
     double all_p99;
     double long_p99;
     double imbalance;
-    double retried; /* passes per request */
+    double passed_on; /* passes per request */
 };
 
-extern const struct scene scenes[];
-extern const size_t scene_count;
+extern const struct scenario scenarios[];
+extern const size_t scenario_count;
 
 void outcome_init(struct outcome *outcome);
 void outcome_clear(struct outcome *outcome);
 
 /* Returns whether `now` is in a peak after the warm-up. */
-bool is_crest(int64_t now);
+bool is_peak(int64_t now);
 
 /* Draws the time of the next arrival after `now`: a Poisson process with the
  * rate of the peak, thinned between peaks. */
-int64_t next_arrival(const struct scene *scene, GRand *dice, int64_t now);
+int64_t next_arrival(const struct scenario *scenario, GRand *rng, int64_t now);
 
 /* Draws a request's service time on a host of normal speed. */
-int64_t draw_service(const struct scene *scene, GRand *dice, bool is_long);
+int64_t draw_service(const struct scenario *scenario, GRand *rng,
+                     bool is_long);
 
 /* Returns the service time on `host` at `now`: `service`, or a multiple of it
  * if the host is slow or cold. */
-int64_t slowed(const struct scene *scene, uint32_t host, int64_t service,
-               int64_t now);
+int64_t scale_service_time(const struct scenario *scenario, uint32_t host,
+                           int64_t service, int64_t now);
 
 /* One-way delay between the agents of two hosts. */
-int64_t hop_time(const struct scene *scene, uint32_t from, uint32_t to);
+int64_t hop_delay(const struct scenario *scenario, uint32_t from, uint32_t to);
 
 /* Adds a request's wait to the results, unless it arrived in the warm-up. */
-void note_wait(struct outcome *outcome, int64_t arrived, int64_t wait,
-               bool is_long);
+void record_wait(struct outcome *outcome, int64_t arrived, int64_t wait,
+                 bool is_long);
 
 /* Integrates the hosts' busy slots over each peak, to measure how evenly the
  * load is spread. */
@@ -92,13 +93,13 @@
     int64_t since[MAX_HOSTS];    /* busy_time is counted up to here */
     uint32_t busy[MAX_HOSTS];
     double ratio_sum; /* of most over mean busy slots, by peak */
-    uint32_t crests;
-    bool in_crest;
+    uint32_t peaks;
+    bool in_peak;
 };
 
 /* Records that `host` has `busy` busy slots from `now` on. */
-void balance_set(struct balance *balance, const struct scene *scene,
-                 int64_t now, uint32_t host, uint32_t busy);
+void balance_record(struct balance *balance, const struct scenario *scenario,
+                    int64_t now, uint32_t host, uint32_t busy);
 
 /* The mean over the peaks of the most over the mean busy slots of hosts. */
 double balance_result(const struct balance *balance);
@@ -108,7 +109,7 @@
 /* Returns the median of each member over `count` runs. */
 struct summary median_summary(const struct summary *runs, size_t count);
 
-void print_summary(const char *scene, const char *policy, const char *seed,
+void print_summary(const char *scenario, const char *policy, const char *seed,
                    const struct summary *summary);
 
 /* The models. Each runs one scenario under the policy with index `policy` in
@@ -116,9 +117,9 @@
  * may have long requests. */
 extern const char *const flow_policies[];
 extern const char *const pinned_policies[];
-void run_flow_model(const struct scene *scene, size_t policy, uint32_t seed,
-                    struct outcome *outcome);
-void run_pinned_model(const struct scene *scene, size_t policy, bool mixed,
-                      uint32_t seed, struct outcome *outcome);
+void run_flow_model(const struct scenario *scenario, size_t policy,
+                    uint32_t seed, struct outcome *outcome);
+void run_pinned_model(const struct scenario *scenario, size_t policy,
+                      bool mixed, uint32_t seed, struct outcome *outcome);
 
 #endif
--- a/tests/measure/pinned_model.c
+++ b/tests/measure/pinned_model.c
@@ -33,10 +33,10 @@
 };
 
 struct model {
-    const struct scene *scene;
+    const struct scenario *scenario;
     enum policy policy;
     struct heap heap;
-    GRand *dice;
+    GRand *rng;
     GArray *requests;
     struct rp_request_queue *gates[MAX_HOSTS];
     uint32_t serving[MAX_HOSTS];
@@ -50,7 +50,7 @@
 static uint32_t
 long_slots(const struct model *model)
 {
-    uint32_t slots = model->scene->slots;
+    uint32_t slots = model->scenario->slots;
 
     switch (model->policy) {
     case POLICY_CAP_70:
@@ -76,15 +76,16 @@
 {
     GQueue *queue = &model->queues[host];
 
-    while (model->serving[host] < model->scene->slots && queue->length) {
+    while (model->serving[host] < model->scenario->slots && queue->length) {
         uint32_t number = GPOINTER_TO_UINT(g_queue_pop_head(queue));
         struct request *request = get_request(model, number);
-        int64_t service = slowed(model->scene, host, request->service, now);
+        int64_t service = scale_service_time(model->scenario, host,
+                                             request->service, now);
         model->serving[host]++;
-        balance_set(&model->balance, model->scene, now, host,
-                    model->serving[host]);
-        note_wait(model->outcome, request->arrived, now - request->arrived,
-                  request->is_long);
+        balance_record(&model->balance, model->scenario, now, host,
+                       model->serving[host]);
+        record_wait(model->outcome, request->arrived, now - request->arrived,
+                    request->is_long);
         heap_push(&model->heap, now + service, EV_DONE, number, host);
     }
 }
@@ -129,7 +130,7 @@
 {
     uint32_t best = 0;
 
-    for (uint32_t i = 1; i < model->scene->hosts; i++) {
+    for (uint32_t i = 1; i < model->scenario->hosts; i++) {
         if (RpRequestQueue_CountStarted(model->gates[i]) +
                 RpRequestQueue_CountWaiting(model->gates[i]) <
             RpRequestQueue_CountStarted(model->gates[best]) +
@@ -144,13 +145,14 @@
 handle_arrival(struct model *model, int64_t now)
 {
     struct request request = {.arrived = now};
-    int64_t next = next_arrival(model->scene, model->dice, now);
+    int64_t next = next_arrival(model->scenario, model->rng, now);
     uint32_t number = model->requests->len;
 
-    request.host = (uint32_t)g_rand_int_range(model->dice, 0,
-                                              (gint32)model->scene->hosts);
-    request.is_long = g_rand_double(model->dice) < model->scene->long_share;
-    request.service = draw_service(model->scene, model->dice, request.is_long);
+    request.host = (uint32_t)g_rand_int_range(model->rng, 0,
+                                              (gint32)model->scenario->hosts);
+    request.is_long = g_rand_double(model->rng) < model->scenario->long_share;
+    request.service = draw_service(model->scenario, model->rng,
+                                   request.is_long);
     request.predicted_long = predict_long(model, &request);
     if (model->policy == POLICY_IDEAL) {
         request.host = find_least_loaded_host(model);
@@ -179,8 +181,8 @@
                int64_t now)
 {
     model->serving[host]--;
-    balance_set(&model->balance, model->scene, now, host,
-                model->serving[host]);
+    balance_record(&model->balance, model->scenario, now, host,
+                   model->serving[host]);
     if (model->policy != POLICY_FIFO) {
         RpRequestQueue_Finish(model->gates[host],
                               get_request(model, number)->predicted_long);
@@ -190,20 +192,20 @@
 }
 
 void
-run_pinned_model(const struct scene *scene, size_t policy, bool mixed,
+run_pinned_model(const struct scenario *scenario, size_t policy, bool mixed,
                  uint32_t seed, struct outcome *outcome)
 {
     struct model model = {
-        .scene = scene,
+        .scenario = scenario,
         .policy = (enum policy)policy,
         .mixed = mixed,
-        .dice = g_rand_new_with_seed(seed),
+        .rng = g_rand_new_with_seed(seed),
         .requests = g_array_new(FALSE, FALSE, sizeof(struct request)),
         .outcome = outcome};
     struct event event;
 
-    for (uint32_t i = 0; i < scene->hosts; i++) {
-        model.gates[i] = RpRequestQueue_Create(scene->slots,
+    for (uint32_t i = 0; i < scenario->hosts; i++) {
+        model.gates[i] = RpRequestQueue_Create(scenario->slots,
                                                long_slots(&model));
     }
     heap_push(&model.heap, 1, EV_ARRIVE, 0, 0);
@@ -219,10 +221,10 @@
         }
     }
     outcome->imbalance = balance_result(&model.balance);
-    for (uint32_t i = 0; i < scene->hosts; i++) {
+    for (uint32_t i = 0; i < scenario->hosts; i++) {
         RpRequestQueue_Free(model.gates[i]);
     }
     heap_clear(&model.heap);
     g_array_free(model.requests, TRUE);
-    g_rand_free(model.dice);
+    g_rand_free(model.rng);
 }
--- a/tests/measure/placement.c
+++ b/tests/measure/placement.c
@@ -15,31 +15,31 @@
 static const char *const suffixes[] = {"", "/pinned", "/pinned-mixed"};
 
 static void
-run_one(enum model_kind kind, const struct scene *scene, size_t policy,
+run_one(enum model_kind kind, const struct scenario *scenario, size_t policy,
         uint32_t seed, struct outcome *outcome)
 {
     if (kind == MODEL_FLOWS) {
-        run_flow_model(scene, policy, seed, outcome);
+        run_flow_model(scenario, policy, seed, outcome);
     }
     else {
-        run_pinned_model(scene, policy, kind == MODEL_PINNED_MIXED, seed,
+        run_pinned_model(scenario, policy, kind == MODEL_PINNED_MIXED, seed,
                          outcome);
     }
 }
 
 static void
-measure(enum model_kind kind, const struct scene *scene, size_t policy,
+measure(enum model_kind kind, const struct scenario *scenario, size_t policy,
         const char *policy_name, uint32_t seeds, bool each)
 {
     struct summary runs[MAX_SEEDS];
     char name[64];
     char label[16];
 
-    snprintf(name, sizeof name, "%s%s", scene->name, suffixes[kind]);
+    snprintf(name, sizeof name, "%s%s", scenario->name, suffixes[kind]);
     for (uint32_t seed = 1; seed <= seeds; seed++) {
         struct outcome outcome;
         outcome_init(&outcome);
-        run_one(kind, scene, policy, seed, &outcome);
+        run_one(kind, scenario, policy, seed, &outcome);
         runs[seed - 1] = summarise(&outcome);
         outcome_clear(&outcome);
         if (each) {
@@ -66,16 +66,17 @@
         fprintf(stderr, "usage: placement [SEEDS [each]]\n");
         return 2;
     }
-    for (size_t i = 0; i < scene_count; i++) {
+    for (size_t i = 0; i < scenario_count; i++) {
         for (size_t j = 0; flow_policies[j]; j++) {
-            measure(MODEL_FLOWS, &scenes[i], j, flow_policies[j], seeds, each);
+            measure(MODEL_FLOWS, &scenarios[i], j, flow_policies[j], seeds,
+                    each);
         }
         for (size_t j = 0; pinned_policies[j]; j++) {
-            measure(MODEL_PINNED, &scenes[i], j, pinned_policies[j], seeds,
+            measure(MODEL_PINNED, &scenarios[i], j, pinned_policies[j], seeds,
                     each);
         }
         for (size_t j = 0; pinned_policies[j]; j++) {
-            measure(MODEL_PINNED_MIXED, &scenes[i], j, pinned_policies[j],
+            measure(MODEL_PINNED_MIXED, &scenarios[i], j, pinned_policies[j],
                     seeds, each);
         }
     }
