--- a/tests/golden/agent_session.c
+++ b/tests/golden/agent_session.c
@@ -15,7 +15,7 @@
  *                                    and a virtual address for both
  *   at MS                            sets the time, in milliseconds
  *   caller FLAGS PORT SEQ ACK LEN CHAIN [tag ID INCARNATION]
- *                                       [best INDEX SHARE [forced]]
+ *                                       [best INDEX UTILISATION [forced]]
  *                                    a packet from the caller
  *   host FLAGS PORT SEQ ACK LEN      a packet from the host
  *   host-returns FLAGS PORT SEQ ACK LEN
