--- a/programs/daemon/agent.c
+++ b/programs/daemon/agent.c
@@ -1,5 +1,6 @@
 /* The agent role: runs beside one upstream instance, announces the upstream to
- * control, owns its flows and passes packets of other flows on. */
+ * control, owns its flows and forwards packets of other flows to their
+ * agents. */
 #include <glib-unix.h>
 #include <signal.h>
 #include <sodium.h>
@@ -255,8 +256,8 @@
         }
         log_dropped_packets(agent, from);
         run_actions(agent);
-        /* Packets released from the gate must be sent before the next received
-         * packet is handled. */
+        /* Packets that leave the request queue must be sent before the next
+         * received packet is handled. */
         RpAgentRole_RunTimers(agent, now);
     }
 }
@@ -389,11 +390,13 @@
     .order_received = on_order,
     .newer_announcement = on_newer_announcement};
 
-/* Handles a stop request, which normally drains the upstream first.
+/* Handles a stop request. If the host sends no reports, the agent drains the
+ * upstream first.
  *
- * A host that reports itself drains by itself. While it is ready, only this
- * process is being replaced: it exits at once, and the next agent learns the
- * flows from the host.
+ * A host that sends reports drains on its own. If it is ready, only the agent
+ * is being replaced: the agent exits at once, and the next agent learns the
+ * flows from the host. Otherwise the agent announces at once that the upstream
+ * is gone, and exits.
  */
 static void
 on_stop(void *user)
--- a/programs/daemon/balancer.c
+++ b/programs/daemon/balancer.c
@@ -265,9 +265,9 @@
     return G_SOURCE_REMOVE;
 }
 
-/* Handles a stop request. From now on /healthz fails, and the fabric is told
- * to send no packets; packets are still forwarded until the fabric has had
- * time to react. */
+/* Handles a stop request. From now on /healthz and the fabric's readiness
+ * checks fail. Packets are still forwarded until the fabric has had time to
+ * send its traffic elsewhere. */
 static void
 on_stop(void *user)
 {
