--- a/lib/flow/rp_admission.c
+++ b/lib/flow/rp_admission.c
@@ -1,3 +1,4 @@
+/* The admission policies. See rp_admission.h. */
 #include "rp_admission.h"
 
 #include <glib.h>
--- a/lib/flow/rp_admission.h
+++ b/lib/flow/rp_admission.h
@@ -18,7 +18,8 @@
  * RP_UTILISATION_UNIT means that all slots are busy, and a higher one that
  * requests wait for a slot. */
 #define RP_UTILISATION_UNIT 16
-/* As the lowest utilisation of earlier candidates: there are none. */
+/* As the lowest utilisation of earlier candidates: none has recorded its own
+ * yet. */
 #define RP_UTILISATION_MAX 255
 
 /* The part of the target latency that a request may spend waiting for a slot,
@@ -28,8 +29,8 @@
 #define RP_WAIT_PERCENT_HIGH_PRIORITY 70
 #define RP_WAIT_PERCENT_LOW_PRIORITY 50
 /* The utilisation from which requests are refused while the service time or
- * the target latency is unknown, and the lowest such limit that the two may
- * give. */
+ * the target latency is unknown; and, where both are known, the lowest
+ * threshold that is computed from them. */
 #define RP_REFUSAL_THRESHOLD_HIGH_PRIORITY (4 * RP_UTILISATION_UNIT)
 #define RP_REFUSAL_THRESHOLD_LOW_PRIORITY (3 * RP_UTILISATION_UNIT)
 #define RP_REFUSAL_THRESHOLD_MIN (2 * RP_UTILISATION_UNIT)
--- a/lib/flow/rp_agent.c
+++ b/lib/flow/rp_agent.c
@@ -189,8 +189,8 @@
     RpAgent_EnterState(agent, flow, next, now);
 }
 
-/* Sends a caller's packet to the host, unless the gate queues it. A SYN is
- * sent without its payload. */
+/* Sends a caller's packet to the host, or queues it if its request must wait
+ * for a slot. A SYN is sent without its payload. */
 static void
 forward_to_host(struct rp_agent *agent, int64_t now, struct rp_flow *flow,
                 const struct rp_packet *packet, struct rp_actions *actions)
@@ -316,6 +316,8 @@
                                    actions);
     }
     else if (packet->flags & RP_TCP_RST) {
+        /* A host does not answer a reset, so the agent cannot query it with
+         * this packet: the reset goes to the host and to the next agent. */
         RpAgent_AddSendAction(agent, actions, RP_ACTION_TO_HOST,
                               RP_COUNT_PACKETS_OUT, packet->data, packet->len);
         RpAgent_ForwardToNextAgent(agent, now, NULL, packet, &geneve->chain,
@@ -468,7 +470,8 @@
         .position = chain->visited ? chain->visited - 1u : 0,
         .lowest_utilisation = chain->lowest_utilisation,
         .last = chain->visited >= chain->count,
-        .service_time_us = (uint32_t)MIN(agent->work.mean_us, UINT32_MAX)};
+        .service_time_us = (uint32_t)MIN(agent->service_time.mean_us,
+                                         UINT32_MAX)};
     if (vip) {
         load->priority = vip->priority;
         load->target_us = (uint32_t)MIN(vip->target_ms * RP_US_PER_MS,
--- a/lib/flow/rp_agent.h
+++ b/lib/flow/rp_agent.h
@@ -42,12 +42,13 @@
  * call. */
 struct rp_action {
     enum rp_action_kind kind;
-    enum rp_counter reason;
-    const uint8_t *data;
+    enum rp_counter reason; /* already counted when the call returns */
+    const uint8_t *data;    /* the packet to send; NULL with RP_ACTION_DROP */
     size_t len;
+    /* Only with RP_ACTION_TO_NEXT_AGENT: */
     struct rp_endpoint next;
     struct rp_chain chain;
-    struct rp_service_tag tag; /* of a forwarded packet */
+    struct rp_service_tag tag;
 };
 
 struct rp_actions {
@@ -134,8 +135,9 @@
  * once, RP_NEVER that no timer is set. */
 int64_t RpAgent_NextTimer(const struct rp_agent *agent);
 
-/* Handles a packet from a caller. `geneve` holds the tag and the chain that
- * the packet arrived with. */
+/* Handles a packet from a caller. `geneve` holds the service tag and the chain
+ * of candidates that the packet arrived with. Drops the packet if the agent's
+ * table lacks its service or the packet is for another service. */
 void RpAgent_FromCaller(struct rp_agent *agent, int64_t now,
                         const struct rp_packet *packet,
                         const struct rp_geneve *geneve,
@@ -147,9 +149,9 @@
                       const struct rp_packet *packet,
                       struct rp_actions *actions);
 
-/* Handles at most one flow with an expired timer, or sends one packet that
- * the gate released. Returns false if nothing is left to do; callers repeat
- * the call until then. */
+/* Handles at most one flow with an expired timer, or sends one packet whose
+ * request has left the request queue. Returns false if nothing is left to do;
+ * callers repeat the call until then. */
 bool RpAgent_OnTimer(struct rp_agent *agent, int64_t now,
                      struct rp_actions *actions);
 
--- a/lib/flow/rp_agent_flow.c
+++ b/lib/flow/rp_agent_flow.c
@@ -149,6 +149,7 @@
                     const struct rp_packet *packet, int64_t now)
 {
     uint32_t end = segment_end(packet);
+    /* False for a retransmission, which begins no request. */
     bool is_new = RpSeq_Distance(flow->caller_next, end) > 0;
 
     flow->caller_seen = now;
@@ -181,10 +182,11 @@
 record_service_time(struct rp_agent *agent, const struct rp_flow *flow,
                     int64_t now)
 {
-    RpServiceTime_OnAnswer(&agent->work, now, agent->busy_flows,
+    RpServiceTime_OnAnswer(&agent->service_time, now, agent->busy_flows,
                            agent->config.slots);
     if (flow->flags & RP_FLOW_FOUND_FREE_SLOT) {
-        RpServiceTime_AddSample(&agent->work, now - flow->request_since);
+        RpServiceTime_AddSample(&agent->service_time,
+                                now - flow->request_since);
     }
 }
 
--- a/lib/flow/rp_agent_gate.c
+++ b/lib/flow/rp_agent_gate.c
@@ -1,5 +1,5 @@
-/* Packet queues for the gate (rp_request_queue.h). Packets of a request that
- * waits for a slot are queued in order and go to the host together; later
+/* The packets of requests in the request queue (rp_request_queue.h). They are
+ * queued in order and go to the host together when their request starts; later
  * segments of the same flow do not overtake them. */
 #include <assert.h>
 #include <string.h>
@@ -19,7 +19,7 @@
 void
 RpAgent_GateCreate(struct rp_agent *agent)
 {
-    agent->gate = RpRequestQueue_Create(UINT32_MAX, UINT32_MAX);
+    agent->request_queue = RpRequestQueue_Create(UINT32_MAX, UINT32_MAX);
     agent->queued_packets = g_hash_table_new_full(
         RpFlowKey_Hash, RpFlowKey_EqualKeys, g_free, free_packets);
     g_queue_init(&agent->released_packets);
@@ -28,7 +28,7 @@
 void
 RpAgent_GateFree(struct rp_agent *agent)
 {
-    RpRequestQueue_Free(agent->gate);
+    RpRequestQueue_Free(agent->request_queue);
     g_hash_table_destroy(agent->queued_packets);
     g_queue_clear_full(&agent->released_packets, g_free);
 }
@@ -41,10 +41,11 @@
     uint32_t slots = agent->config.slots;
 
     if (percent >= ALL_PERCENT) {
-        RpRequestQueue_SetSlots(agent->gate, UINT32_MAX, UINT32_MAX);
+        RpRequestQueue_SetSlots(agent->request_queue, UINT32_MAX, UINT32_MAX);
         return;
     }
-    RpRequestQueue_SetSlots(agent->gate, slots, slots * percent / ALL_PERCENT);
+    RpRequestQueue_SetSlots(agent->request_queue, slots,
+                            slots * percent / ALL_PERCENT);
 }
 
 static struct rp_held_packet *
@@ -81,10 +82,10 @@
     return true;
 }
 
-/* Marks that the flow's request occupies a slot. Its service time counts from
- * now, without the time in the queue. */
+/* Marks that the flow's request has started. Its service time counts from now,
+ * without the time in the queue. */
 static void
-mark_admitted(struct rp_flow *flow, bool is_long, int64_t now)
+mark_started(struct rp_flow *flow, bool is_long, int64_t now)
 {
     flow->flags &= (uint16_t)~RP_FLOW_QUEUED;
     flow->flags |= RP_FLOW_STARTED;
@@ -121,7 +122,7 @@
         /* The queue is full: release the queued packets without a slot. This
          * packet is dropped, as it must not overtake them, and the caller
          * sends it again. */
-        RpRequestQueue_Cancel(agent->gate, flow->caller);
+        RpRequestQueue_Cancel(agent->request_queue, flow->caller);
         flow->flags &= (uint16_t)~RP_FLOW_QUEUED;
         release_packets(agent, flow);
         return true;
@@ -130,9 +131,9 @@
         !(flow->flags & RP_FLOW_OWNED)) {
         return false;
     }
-    if (RpRequestQueue_StartOrEnqueue(agent->gate, now, flow->caller,
+    if (RpRequestQueue_StartOrEnqueue(agent->request_queue, now, flow->caller,
                                       is_long)) {
-        mark_admitted(flow, is_long, now);
+        mark_started(flow, is_long, now);
         return false;
     }
     RpCounters_Add(agent->counters, RP_COUNT_REQUEST_HELD);
@@ -145,10 +146,11 @@
 RpAgent_GateEndRequest(struct rp_agent *agent, struct rp_flow *flow)
 {
     if (flow->flags & RP_FLOW_STARTED) {
-        RpRequestQueue_Finish(agent->gate, flow->flags & RP_FLOW_STARTED_LONG);
+        RpRequestQueue_Finish(agent->request_queue,
+                              flow->flags & RP_FLOW_STARTED_LONG);
     }
     if (flow->flags & RP_FLOW_QUEUED) {
-        RpRequestQueue_Cancel(agent->gate, flow->caller);
+        RpRequestQueue_Cancel(agent->request_queue, flow->caller);
         release_packets(agent, flow);
     }
     flow->flags &= (uint16_t) ~(RP_FLOW_STARTED | RP_FLOW_STARTED_LONG |
@@ -167,22 +169,24 @@
     }
 }
 
-/* Releases the packets of the next request that gets a slot or has waited for
- * the longest allowed time; false if there is none. */
+/* Starts the next request that gets a slot or has waited for
+ * RP_REQUEST_MAX_WAIT_US, and releases its packets. Returns false if there is
+ * none. */
 static bool
-admit_next_request(struct rp_agent *agent, int64_t now)
+start_next_request(struct rp_agent *agent, int64_t now)
 {
     struct rp_flow_key caller;
     bool is_long;
 
-    if (!RpRequestQueue_StartNext(agent->gate, now, &caller, &is_long)) {
+    if (!RpRequestQueue_StartNext(agent->request_queue, now, &caller,
+                                  &is_long)) {
         return false;
     }
     struct rp_flow *flow = RpFlowTable_Find(agent->flows, caller);
     assert(flow && (flow->flags & RP_FLOW_QUEUED));
     RpCounters_Time(agent->counters, RP_HISTOGRAM_REQUEST_KEPT,
                     now - flow->request_since);
-    mark_admitted(flow, is_long, now);
+    mark_started(flow, is_long, now);
     release_packets(agent, flow);
     return true;
 }
@@ -192,7 +196,7 @@
                      struct rp_actions *actions)
 {
     while (agent->released_packets.length == 0 &&
-           admit_next_request(agent, now)) {
+           start_next_request(agent, now)) {
     }
     agent->action_packet = g_queue_pop_head(&agent->released_packets);
     if (!agent->action_packet) {
--- a/lib/flow/rp_agent_internal.h
+++ b/lib/flow/rp_agent_internal.h
@@ -34,7 +34,7 @@
 #define RP_CLOSED_FLOW_TIMEOUT_US (60 * RP_US_PER_SECOND)
 #define RP_REDIRECT_TIMEOUT_US (120 * RP_US_PER_SECOND)
 /* A request whose answer takes this long marks its flow as one with long
- * requests, which may fill only a share of the slots. */
+ * requests, which may occupy only some of the slots. */
 #define RP_LONG_REQUEST_US (200 * RP_US_PER_MS)
 /* Entries in any state. Bounds the memory that a SYN flood can take. */
 #define RP_AGENT_MAX_ENTRIES 1000000
@@ -65,18 +65,18 @@
     struct rp_hold *hold;
     /* The packet that the actions of the last call point into, or NULL. */
     struct rp_held_packet *action_packet;
-    struct rp_request_queue *gate;
-    /* Packets that the gate delays: caller -> GQueue of rp_held_packet. */
+    struct rp_request_queue *request_queue;
+    /* Packets of queued requests: caller -> GQueue of rp_held_packet. */
     GHashTable *queued_packets;
-    size_t queued_bytes;         /* of the packets in `queued_packets` */
-    GQueue released_packets;     /* of rp_held_packet, to send to the host */
-    GQueue short_timers;         /* of struct rp_flow_timer: state deadlines */
-    GQueue reservations;         /* of struct rp_flow_timer: reserved slots */
-    uint32_t owned_flows;        /* flows with RP_FLOW_OWNED */
-    uint32_t busy_flows;         /* flows with RP_FLOW_BUSY */
-    struct rp_service_time work; /* time that a request occupies a slot */
-    int32_t retry_budget_cents;  /* retry budget, in hundredths of a retry */
-    int64_t next_scan;           /* when the flow table is scanned next */
+    size_t queued_bytes;     /* of the packets in `queued_packets` */
+    GQueue released_packets; /* of rp_held_packet, to send to the host */
+    GQueue short_timers;     /* of struct rp_flow_timer: state deadlines */
+    GQueue reservations;     /* of struct rp_flow_timer: reserved slots */
+    uint32_t owned_flows;    /* flows with RP_FLOW_OWNED */
+    uint32_t busy_flows;     /* flows with RP_FLOW_BUSY */
+    struct rp_service_time service_time; /* of the host's requests */
+    int32_t retry_budget_cents; /* retry budget, in hundredths of a retry */
+    int64_t next_scan;          /* when the flow table is scanned next */
 };
 
 /* Starts a call: empties `actions` and frees the packet that the actions of
@@ -133,7 +133,7 @@
  * found by scanning the flow table. */
 bool RpAgent_HasShortTimer(uint8_t state);
 
-/* Removes a flow's entry, its kept packet and its share of the counts. */
+/* Removes a flow's entry, its kept packet and its part in the counts. */
 void RpAgent_RemoveFlow(struct rp_agent *agent, struct rp_flow *flow);
 
 /* Sets whether a flow has an outstanding request and so occupies a slot. */
@@ -267,21 +267,23 @@
 void RpAgent_GateCreate(struct rp_agent *agent);
 void RpAgent_GateFree(struct rp_agent *agent);
 
-/* Sets the gate's slots from the agent's configuration and the service's share
- * for long requests. */
+/* Sets the slots of the request queue: the agent's configuration has their
+ * number, the service the percentage that long requests may occupy. */
 void RpAgent_GateConfigure(struct rp_agent *agent);
 
-/* Passes a packet for the host through the gate. Returns true if the packet
- * must not be sent now: it is queued, or dropped because the queue is full. */
+/* Starts or queues the request that a packet for the host belongs to. Returns
+ * true if the packet must not be sent now: it is queued, or dropped because
+ * the packet queue is full. */
 bool RpAgent_GateDefersPacket(struct rp_agent *agent, int64_t now,
                               struct rp_flow *flow,
                               const struct rp_packet *packet);
 
-/* Frees the gate slot of a flow whose request has ended, or removes the
- * request from the queue. Packets that are queued then go to the host. */
+/* Frees the slot of a flow's request that has ended, or removes the request
+ * from the queue; its queued packets then go to the host. */
 void RpAgent_GateEndRequest(struct rp_agent *agent, struct rp_flow *flow);
 
-/* Records whether the answer that has just ended took long. */
+/* Records whether the answer that has just ended took RP_LONG_REQUEST_US or
+ * longer: the flow's next request then counts as long. */
 void RpAgent_GateRecordAnswer(struct rp_flow *flow, int64_t now);
 
 /* Adds an action that sends at most one released packet; false if there is
--- a/lib/flow/rp_agent_open.c
+++ b/lib/flow/rp_agent_open.c
@@ -56,9 +56,9 @@
 /* Decides whether this agent takes a new flow; `*reason` is the counter of
  * the decision. */
 static enum rp_decision
-get_admission_verdict(struct rp_agent *agent, int64_t now,
-                      const struct rp_packet *packet,
-                      const struct rp_chain *chain, enum rp_counter *reason)
+get_admission_decision(struct rp_agent *agent, int64_t now,
+                       const struct rp_packet *packet,
+                       const struct rp_chain *chain, enum rp_counter *reason)
 {
     struct rp_load load;
 
@@ -79,6 +79,7 @@
         *reason = RP_COUNT_PASS_UNHEALTHY;
         return RP_DECISION_PASS_ON;
     }
+    /* The last candidate sent the SYN back: this agent is the least busy. */
     if (chain->forced && load.flows < load.flow_limit) {
         *reason = RP_COUNT_FLOW_ADMITTED_LAST;
         return RP_DECISION_ADMIT;
@@ -118,24 +119,25 @@
     flow->host_seen = now;
 }
 
-/* Updates the chain's lowest share with this agent's own, for the admission
- * decisions of the candidates after it. */
+/* Records this agent in the chain as the least busy candidate so far, if it
+ * is: the candidates after it decide by the lowest utilisation. */
 static void
-record_share(struct rp_agent *agent, int64_t now, struct rp_endpoint address,
-             struct rp_chain *chain)
+record_utilisation(struct rp_agent *agent, int64_t now,
+                   struct rp_endpoint address, struct rp_chain *chain)
 {
     struct rp_load load;
 
     RpAgent_FillLoad(agent, now, address, chain, &load);
-    uint8_t share = RpLoad_Utilisation(&load);
-    if (chain->visited > 0 && share < chain->lowest_utilisation) {
-        chain->lowest_utilisation = share;
+    uint8_t utilisation = RpLoad_Utilisation(&load);
+    if (chain->visited > 0 && utilisation < chain->lowest_utilisation) {
+        chain->lowest_utilisation = utilisation;
         chain->best = chain->visited - 1;
     }
 }
 
-/* Chooses the agent to which a SYN is forwarded and advances the chain to
- * it; false if no candidate is left. */
+/* Chooses the agent to which a SYN is forwarded: the least busy of the earlier
+ * candidates if `reason` is RP_COUNT_PASS_BACK, else the next candidate, to
+ * which it advances the chain. Returns false if no candidate is left. */
 static bool
 choose_next_for_syn(struct rp_agent *agent, int64_t now,
                     struct rp_chain *chain, struct rp_flow_key caller,
@@ -148,7 +150,7 @@
     }
     chain->forced = false;
     if (reason == RP_COUNT_PASS_BUSY) {
-        record_share(agent, now, RpFlowKey_Target(caller), chain);
+        record_utilisation(agent, now, RpFlowKey_Target(caller), chain);
     }
     return RpAgent_NextHop(agent, chain, caller, true, next);
 }
@@ -180,10 +182,10 @@
             enum rp_counter reason, struct rp_actions *actions)
 {
     struct rp_flow_key caller = packet->key;
-    struct rp_chain remaining = *chain;
+    struct rp_chain next_chain = *chain;
     struct rp_endpoint next;
 
-    if (!choose_next_for_syn(agent, now, &remaining, caller, reason, &next)) {
+    if (!choose_next_for_syn(agent, now, &next_chain, caller, reason, &next)) {
         RpCounters_Add(agent->counters, reason);
         refuse_syn(agent, flow, packet, RP_COUNT_REFUSED_ALL, actions);
         return;
@@ -195,7 +197,8 @@
     }
     uint8_t *scratch = actions->scratch[actions->count];
     size_t len = copy_syn_without_payload(agent, packet, scratch);
-    add_forward_action(agent, actions, reason, scratch, len, &remaining, next);
+    add_forward_action(agent, actions, reason, scratch, len, &next_chain,
+                       next);
 }
 
 /* Admits a flow: sends the SYN to the host, reserves a slot and keeps a copy
@@ -216,7 +219,8 @@
                           len);
 }
 
-/* Adds the service's share of a retry for an admitted flow. */
+/* Adds to the retry budget for an admitted flow: the service allows
+ * `retries_percent` retries per 100 of them. */
 static void
 add_to_retry_budget(struct rp_agent *agent)
 {
@@ -232,14 +236,14 @@
                         struct rp_actions *actions)
 {
     enum rp_counter reason;
-    enum rp_decision verdict = get_admission_verdict(agent, now, packet, chain,
-                                                     &reason);
+    enum rp_decision decision = get_admission_decision(agent, now, packet,
+                                                       chain, &reason);
 
-    if (verdict == RP_DECISION_REFUSE) {
+    if (decision == RP_DECISION_REFUSE) {
         refuse_syn(agent, flow, packet, reason, actions);
         return;
     }
-    if (verdict != RP_DECISION_ADMIT) {
+    if (decision != RP_DECISION_ADMIT) {
         forward_syn(agent, now, flow, packet, chain, reason, actions);
         return;
     }
@@ -294,10 +298,10 @@
                  const struct rp_packet *refusal, struct rp_actions *actions)
 {
     const struct rp_held_packet *held = RpAgent_TakeHeldPacket(agent, flow);
-    struct rp_chain remaining = held ? held->chain : (struct rp_chain){0};
+    struct rp_chain next_chain = held ? held->chain : (struct rp_chain){0};
     struct rp_endpoint next;
     bool can_retry = held &&
-                     RpAgent_NextHop(agent, &remaining, flow->caller, true,
+                     RpAgent_NextHop(agent, &next_chain, flow->caller, true,
                                      &next) &&
                      take_from_retry_budget(agent);
 
@@ -306,7 +310,7 @@
         add_forward_action(agent, actions,
                            refusal ? RP_COUNT_RETRY_HOST_REFUSED
                                    : RP_COUNT_RETRY_HOST_SILENT,
-                           held->data, held->len, &remaining, next);
+                           held->data, held->len, &next_chain, next);
     }
     else if (refusal) {
         deliver_refusal(agent, now, flow, refusal, actions);
@@ -317,6 +321,7 @@
         flow->deadline = now + RP_HANDSHAKE_TIMEOUT_US;
     }
     else {
+        /* The SYN was not kept, or this timer ends the wait above. */
         RpCounters_Add(agent->counters, RP_COUNT_FLOW_EXPIRED);
         RpAgent_RemoveFlow(agent, flow);
     }
@@ -432,15 +437,15 @@
                            struct rp_actions *actions)
 {
     struct rp_flow_key caller = packet->key;
-    struct rp_chain remaining = *chain;
+    struct rp_chain next_chain = *chain;
     struct rp_endpoint next;
     bool is_new_flow = RpPacket_Opens(packet);
     bool has_next_hop = flow && flow->state == RP_FLOW_REDIRECTED &&
                         flow->next_hop.port != 0;
-    bool found = has_next_hop ? RpAgent_PreferredNextHop(agent, &remaining,
+    bool found = has_next_hop ? RpAgent_PreferredNextHop(agent, &next_chain,
                                                          caller, is_new_flow,
                                                          flow->next_hop, &next)
-                              : RpAgent_NextHop(agent, &remaining, caller,
+                              : RpAgent_NextHop(agent, &next_chain, caller,
                                                 is_new_flow, &next);
 
     if (!found && is_new_flow) {
@@ -468,5 +473,5 @@
         data = scratch;
     }
     add_forward_action(agent, actions, RP_COUNT_FLOW_PASSED, data, len,
-                       &remaining, next);
+                       &next_chain, next);
 }
--- a/lib/flow/rp_agent_silence.c
+++ b/lib/flow/rp_agent_silence.c
@@ -131,6 +131,8 @@
     flow->deadline = now + silence_timeout_us(agent);
     if (now >= last_seen + IDLE_PROBE_INTERVAL_US) {
         probe_host(agent, flow, actions);
+        /* The next idle probe follows after another interval, even if the
+         * host does not answer. */
         flow->host_seen = now;
     }
 }
--- a/lib/flow/rp_agent_timer.c
+++ b/lib/flow/rp_agent_timer.c
@@ -1,5 +1,5 @@
 /* Timers: expired state deadlines, expired slot reservations, lost flows, and
- * packets that the gate releases. */
+ * packets whose request has left the request queue. */
 #include "rp_agent_internal.h"
 
 /* The flow table is scanned in parts, so that a large table does not block the
@@ -136,7 +136,7 @@
     if (RpFlowTable_Count(agent->flows) > 0) {
         next = MIN(next, agent->next_scan);
     }
-    return MIN(next, RpRequestQueue_NextDeadline(agent->gate));
+    return MIN(next, RpRequestQueue_NextDeadline(agent->request_queue));
 }
 
 bool
--- a/lib/flow/rp_balancer.c
+++ b/lib/flow/rp_balancer.c
@@ -1,3 +1,4 @@
+/* The routing decision of a balancer. See rp_balancer.h. */
 #include "rp_balancer.h"
 
 /* Appends the highest-ranked members whose state is in `states`.
--- a/lib/flow/rp_flow_table.c
+++ b/lib/flow/rp_flow_table.c
@@ -1,3 +1,4 @@
+/* The flow table: open addressing with linear probing. See rp_flow_table.h. */
 #include "rp_flow_table.h"
 
 #include <assert.h>
@@ -16,6 +17,7 @@
     struct shard shards[RP_FLOW_SHARDS];
     uint64_t seed;
     size_t count;
+    /* Where the next RpFlowTable_CollectExpired continues. */
     size_t sweep_shard;
     size_t sweep_bucket;
 };
@@ -59,6 +61,7 @@
     return x;
 }
 
+/* The highest bits of the hash select the shard, the lowest the bucket. */
 static struct shard *
 select_shard(struct rp_flow_table *table, uint64_t hash)
 {
@@ -112,6 +115,7 @@
     uint64_t hash = hash_key(table, caller);
     struct shard *shard = select_shard(table, hash);
 
+    /* At most three quarters of the buckets are in use. */
     if ((shard->used + 1) * 4 > (shard->mask + 1) * 3) {
         grow_shard(table, shard);
     }
--- a/lib/flow/rp_flow_table.h
+++ b/lib/flow/rp_flow_table.h
@@ -27,9 +27,11 @@
 #define RP_FLOW_PROBED 0x08
 /* The flow counts against the limits of this agent. */
 #define RP_FLOW_OWNED 0x10
-/* The flow counts as busy for a request that has not come yet. */
+/* A slot is reserved for the first request, which has not arrived yet. The
+ * flow also has RP_FLOW_BUSY. */
 #define RP_FLOW_RESERVED 0x20
-/* The flow was passed on, but this agent's host may have it. */
+/* The flow is redirected to another agent, but this agent's host may have
+ * it. */
 #define RP_FLOW_MAYBE_AT_HOST 0x40
 /* No owner has been found since `host_seen`. */
 #define RP_FLOW_OWNER_UNKNOWN 0x80
@@ -41,15 +43,15 @@
 #define RP_FLOW_STARTED_LONG 0x400
 /* The last answer was slow, so the next request counts as long. */
 #define RP_FLOW_EXPECT_LONG 0x800
-/* No byte of the answer has come yet. */
+/* The first byte of the answer has not arrived yet. */
 #define RP_FLOW_AWAITS_ANSWER 0x1000
-/* A slot was free when the request came. */
+/* A slot was free when the request arrived. */
 #define RP_FLOW_FOUND_FREE_SLOT 0x2000
 
 /* One flow. Times are in microseconds on the monotonic clock. */
 struct rp_flow {
-    struct rp_flow_key caller;
-    uint8_t state; /* enum rp_flow_state; 0 marks a free bucket */
+    struct rp_flow_key caller; /* the key; its source is the caller */
+    uint8_t state;             /* enum rp_flow_state; 0 marks a free bucket */
     uint16_t flags;
     uint32_t caller_isn;
     uint32_t host_isn;
@@ -60,7 +62,8 @@
     int64_t deadline;      /* of the state's timer */
     int64_t caller_seen;   /* time of the caller's last packet */
     int64_t host_seen;     /* time of the host's last packet */
-    int64_t request_since; /* when the request came, or when it was started */
+    int64_t request_since; /* when the request arrived or, after it has waited
+                            * in the request queue, when it started */
     struct rp_endpoint next_hop; /* agent that a redirected flow goes to */
 };
 
--- a/lib/flow/rp_health.h
+++ b/lib/flow/rp_health.h
@@ -1,5 +1,5 @@
-/* Health of a host, judged by the new flows that its agent gave to it and
- * not by the host's own reports. The state chart is charts/upstream.chart. */
+/* Health of a host, judged by how it answers the SYNs of new flows and not by
+ * its own reports. The state chart is charts/upstream.chart. */
 #ifndef RP_HEALTH_H
 #define RP_HEALTH_H
 
--- a/lib/flow/rp_request_queue.c
+++ b/lib/flow/rp_request_queue.c
@@ -1,3 +1,4 @@
+/* Two FIFO queues, for short and for long requests. See rp_request_queue.h. */
 #include "rp_request_queue.h"
 
 #include <assert.h>
--- a/lib/flow/rp_request_queue.h
+++ b/lib/flow/rp_request_queue.h
@@ -35,10 +35,11 @@
 void RpRequestQueue_SetSlots(struct rp_request_queue *queue, uint32_t slots,
                              uint32_t long_slots);
 
-/* Adds a new request of `caller`. Returns true if it starts now, as there is
- * a free slot and no request of its kind is waiting, or as
- * RP_REQUEST_QUEUE_MAX requests are waiting. Returns false if it waits until
- * RpRequestQueue_StartNext returns its caller. `now` is in microseconds. */
+/* Adds a new request of `caller`. Returns true if the request starts now,
+ * because a slot is free and no request of its kind (short or long) waits, or
+ * because RP_REQUEST_QUEUE_MAX requests wait. Returns false if the request
+ * waits until RpRequestQueue_StartNext returns its caller. `now` is in
+ * microseconds. */
 bool RpRequestQueue_StartOrEnqueue(struct rp_request_queue *queue, int64_t now,
                                    struct rp_flow_key caller, bool is_long);
 
--- a/lib/flow/rp_service_time.c
+++ b/lib/flow/rp_service_time.c
@@ -1,3 +1,4 @@
+/* A moving mean of service times. See rp_service_time.h. */
 #include "rp_service_time.h"
 
 #include <glib.h>
--- a/lib/flow/rp_service_time.h
+++ b/lib/flow/rp_service_time.h
@@ -22,15 +22,16 @@
 struct rp_service_time {
     int64_t mean_us;     /* 0: no sample yet */
     uint32_t samples;    /* at most RP_SERVICE_TIME_WINDOW */
-    int64_t last_answer; /* its time, in microseconds */
-    bool was_full;       /* a request waited for the slot that it freed */
+    int64_t last_answer; /* time of the last answer, in microseconds */
+    bool was_full;       /* a request waited for the slot that the last answer
+                          * freed */
 };
 
 /* Adds the time from a request that found a free slot to its answer. */
 void RpServiceTime_AddSample(struct rp_service_time *estimate,
                              int64_t took_us);
 
-/* Notes an answer at `now`, in microseconds. `busy` is the number of
+/* Records an answer at `now`, in microseconds. `busy` is the number of
  * outstanding requests, including the answered one; `slots` is the host's
  * number of slots. If requests waited at the previous answer, adds the time
  * since then as a sample. */
--- a/lib/flow/rp_table.c
+++ b/lib/flow/rp_table.c
@@ -1,3 +1,5 @@
+/* The service table: updates from control, and the ranking of members by
+ * weighted rendezvous hashing. See rp_table.h. */
 #include "rp_table.h"
 
 #include <assert.h>
@@ -93,9 +95,10 @@
 init_member(const struct rp_table *table, struct rp_member *member,
             const struct rp_msg_member *from)
 {
-    static const uint8_t seed_key[crypto_shorthash_KEYBYTES] =
+    /* A constant key: all instances must rank members alike. */
+    static const uint8_t name_hash_key[crypto_shorthash_KEYBYTES] =
         "member-seed-v1";
-    uint8_t seed[crypto_shorthash_BYTES];
+    uint8_t digest[crypto_shorthash_BYTES];
 
     member->name = from->upstream;
     member->agent = (struct rp_endpoint){.ip = from->agent_ip,
@@ -108,9 +111,9 @@
     }
     member->inverse_weight = (uint32_t)MIN(INVERSE_SCALE / weight, UINT32_MAX);
     member->state = (enum rp_upstream_state)from->state;
-    crypto_shorthash(seed, (const uint8_t *)from->upstream.data,
-                     from->upstream.len, seed_key);
-    member->name_hash = RpBytes_Get64(seed);
+    crypto_shorthash(digest, (const uint8_t *)from->upstream.data,
+                     from->upstream.len, name_hash_key);
+    member->name_hash = RpBytes_Get64(digest);
 }
 
 static bool
