--- a/lib/flow/rp_agent.h
+++ b/lib/flow/rp_agent.h
@@ -55,7 +55,8 @@
     size_t count;
     bool begins_request; /* the packet is the first of a request */
     bool begins_answer;  /* the packet is the first of an answer */
-    int64_t answer_us;   /* time since the request went to the host */
+    int64_t answer_us;   /* with begins_answer: time since the request went to
+                          * the host */
     struct rp_action item[RP_MAX_ACTIONS];
     uint8_t scratch[RP_MAX_ACTIONS][RP_SCRATCH_SIZE];
 };
--- a/lib/flow/rp_agent_chain.c
+++ b/lib/flow/rp_agent_chain.c
@@ -95,6 +95,7 @@
         (index == chain->count && !RpChain_Append(chain, preferred))) {
         return RpAgent_NextHop(agent, chain, caller, is_new_flow, next);
     }
+    /* Swaps it with the first candidate that has not had the packet. */
     chain->hop[index] = chain->hop[chain->visited];
     chain->hop[chain->visited++] = preferred;
     *next = preferred;
--- a/lib/flow/rp_agent_classify.c
+++ b/lib/flow/rp_agent_classify.c
@@ -94,6 +94,9 @@
         (packet->flags & RP_TCP_ACK)) {
         return false;
     }
+    /* A reset without ACK has the acknowledgement number of the segment that
+     * it answers as its sequence number. The segment is of another host's
+     * connection if this host has never sent that number. */
     bool has_not_wrapped = RpSeq_Distance(flow->host_isn, flow->host_next) <
                            MAX_COMPARABLE_SPAN;
     return RpSeq_Distance(packet->seq, flow->host_next) < 0 ||
--- a/lib/flow/rp_agent_flow.c
+++ b/lib/flow/rp_agent_flow.c
@@ -161,6 +161,8 @@
         !(flow->flags & RP_FLOW_OWNED)) {
         return false;
     }
+    /* Payload on a busy flow belongs to its outstanding request, unless the
+     * slot is only reserved for a request. */
     bool begins_request = !(flow->flags & RP_FLOW_BUSY) ||
                           (flow->flags & RP_FLOW_RESERVED);
     if (begins_request) {
--- a/programs/daemon/agent.c
+++ b/programs/daemon/agent.c
@@ -155,6 +155,7 @@
         break;
     case RP_ACTION_TO_CALLER:
         if (!ops->framed) {
+            /* A packet outside Geneve goes to the caller's own address. */
             fabric.ip = ops->target(action->data).ip;
         }
         send_action(agent, agent->balancer_side, fabric, header, len, action);
@@ -218,6 +219,7 @@
     return false;
 }
 
+/* Logs the drops that RpAgentLog_Action does not log. */
 static void
 log_dropped_packets(struct agent *agent, struct rp_endpoint from)
 {
--- a/programs/daemon/balancer.c
+++ b/programs/daemon/balancer.c
@@ -96,6 +96,7 @@
         header_len = RpGeneve_Write(header, ops->protocol, NULL, NULL);
     }
     else {
+        /* A packet outside Geneve goes to the caller's own address. */
         from = (struct rp_endpoint){.ip = packet->key.src_ip,
                                     .port = balancer->settings.listen.port};
     }
