--- a/lib/flow/rp_agent.c
+++ b/lib/flow/rp_agent.c
@@ -281,7 +281,7 @@
     return geneve->has_tag && geneve->has_chain &&
            geneve->tag.service_id == service->tag.service_id &&
            geneve->tag.incarnation == service->tag.incarnation &&
-           is_service_address(service, RpFlowKey_Target(packet->key));
+           is_service_address(service, RpFlowKey_Destination(packet->key));
 }
 
 void
@@ -368,8 +368,8 @@
     case RP_FLOW_DO_TO_CALLER:
         if (flow->state == RP_FLOW_SYN_SENT) {
             RpHealth_RecordSuccess(&agent->health, now);
-            RpCounters_Time(agent->counters, RP_HISTOGRAM_SYN_ANSWER,
-                            now - flow->host_seen);
+            RpCounters_AddDuration(agent->counters, RP_HISTOGRAM_SYN_ANSWER,
+                                   now - flow->host_seen);
         }
         change_state(agent, flow, step.next, now);
         forward_to_caller(agent, now, flow, packet, actions);
@@ -439,7 +439,7 @@
         forward_without_table(agent, packet, actions);
         return;
     }
-    if (!is_service_address(agent->service, RpFlowKey_Target(caller))) {
+    if (!is_service_address(agent->service, RpFlowKey_Destination(caller))) {
         RpAgent_AddAction(agent, actions, RP_ACTION_DROP,
                           RP_COUNT_DROP_WRONG_SERVICE);
         return;
--- a/lib/flow/rp_agent_flow.c
+++ b/lib/flow/rp_agent_flow.c
@@ -200,8 +200,8 @@
     if (packet->payload_len > 0 && (flow->flags & RP_FLOW_AWAITS_ANSWER)) {
         flow->flags &= (uint16_t)~RP_FLOW_AWAITS_ANSWER;
         record_service_time(agent, flow, now);
-        RpCounters_Time(agent->counters, RP_HISTOGRAM_FIRST_BYTE,
-                        now - flow->request_since);
+        RpCounters_AddDuration(agent->counters, RP_HISTOGRAM_FIRST_BYTE,
+                               now - flow->request_since);
     }
     if (packet->flags & RP_TCP_SYN) {
         flow->host_isn = packet->seq;
--- a/lib/flow/rp_agent_gate.c
+++ b/lib/flow/rp_agent_gate.c
@@ -184,8 +184,8 @@
     }
     struct rp_flow *flow = RpFlowTable_Find(agent->flows, caller);
     assert(flow && (flow->flags & RP_FLOW_QUEUED));
-    RpCounters_Time(agent->counters, RP_HISTOGRAM_REQUEST_KEPT,
-                    now - flow->request_since);
+    RpCounters_AddDuration(agent->counters, RP_HISTOGRAM_REQUEST_KEPT,
+                           now - flow->request_since);
     mark_started(flow, is_long, now);
     release_packets(agent, flow);
     return true;
--- a/lib/flow/rp_agent_open.c
+++ b/lib/flow/rp_agent_open.c
@@ -71,7 +71,8 @@
         *reason = RP_COUNT_PASS_HOST_UNKNOWN;
         return RP_DECISION_PASS_ON;
     }
-    RpAgent_FillLoad(agent, now, RpFlowKey_Target(packet->key), chain, &load);
+    RpAgent_FillLoad(agent, now, RpFlowKey_Destination(packet->key), chain,
+                     &load);
     load.waited_us = packet->waited_us;
     /* The last candidate takes the flow even if its host is unhealthy, as no
      * other is left. */
@@ -150,7 +151,7 @@
     }
     chain->forced = false;
     if (reason == RP_COUNT_PASS_BUSY) {
-        record_utilisation(agent, now, RpFlowKey_Target(caller), chain);
+        record_utilisation(agent, now, RpFlowKey_Destination(caller), chain);
     }
     return RpAgent_NextHop(agent, chain, caller, true, next);
 }
@@ -163,7 +164,7 @@
            const struct rp_packet *packet, enum rp_counter reason,
            struct rp_actions *actions)
 {
-    if (packet->copy > 0) {
+    if (packet->syn_retransmits > 0) {
         RpAgent_AddAction(agent, actions, RP_ACTION_DROP, reason);
     }
     else {
@@ -374,8 +375,8 @@
 forward_to_sibling(struct rp_agent *agent, const struct rp_packet *packet,
                    const struct rp_chain *chain, struct rp_actions *actions)
 {
-    const struct rp_vip *vip = RpTable_FindVip(agent->table,
-                                               RpFlowKey_Target(packet->key));
+    const struct rp_vip *vip = RpTable_FindVip(
+        agent->table, RpFlowKey_Destination(packet->key));
     uint64_t hash = RpTable_HashFlow(agent->table, packet->key);
 
     for (size_t i = 0; vip && !chain->forced && i < vip->count; i++) {
--- a/lib/flow/rp_balancer.c
+++ b/lib/flow/rp_balancer.c
@@ -46,7 +46,7 @@
 RpBalancer_Route(const struct rp_table *table, const struct rp_packet *packet,
                  struct rp_route *route)
 {
-    struct rp_endpoint address = RpFlowKey_Target(packet->key);
+    struct rp_endpoint address = RpFlowKey_Destination(packet->key);
     bool opens = RpPacket_Opens(packet);
 
     *route = (struct rp_route){
@@ -69,8 +69,8 @@
     if (!opens) {
         append_candidates(&route->chain, service, hash, RP_MEMBERS_LOST);
     }
-    if (opens && packet->copy > 0 && route->chain.count > 1) {
-        rotate_candidates(&route->chain, packet->copy);
+    if (opens && packet->syn_retransmits > 0 && route->chain.count > 1) {
+        rotate_candidates(&route->chain, packet->syn_retransmits);
     }
     if (route->chain.count > 0) {
         route->kind = RP_ROUTE_SEND;
--- a/programs/daemon/agent.c
+++ b/programs/daemon/agent.c
@@ -142,7 +142,7 @@
     struct rp_endpoint fabric = agent->settings.fabric;
     size_t len = 0;
 
-    if (ops->framed) {
+    if (ops->encapsulated) {
         len = RpGeneve_Write(header, ops->protocol, NULL, NULL);
     }
     RpAgentLog_Action(agent, action);
@@ -154,9 +154,9 @@
                     action);
         break;
     case RP_ACTION_TO_CALLER:
-        if (!ops->framed) {
+        if (!ops->encapsulated) {
             /* A packet outside Geneve goes to the caller's own address. */
-            fabric.ip = ops->target(action->data).ip;
+            fabric.ip = ops->destination(action->data).ip;
         }
         send_action(agent, agent->balancer_side, fabric, header, len, action);
         break;
@@ -204,7 +204,8 @@
 {
     const struct rp_codec_ops *ops = agent->codec->ops;
     enum rp_counter reason;
-    bool returned = ops->take_back && ops->take_back(data, len);
+    bool returned = ops->clear_returned_mark &&
+                    ops->clear_returned_mark(data, len);
 
     agent->received = NULL;
     if (ops->parse(data, len, packet, &reason)) {
@@ -272,7 +273,7 @@
     struct rp_geneve geneve;
     struct rp_packet packet;
 
-    bool parsed = agent->codec->ops->framed
+    bool parsed = agent->codec->ops->encapsulated
                       ? parse_encapsulated(agent, data, len, from, &geneve,
                                            &packet)
                       : parse_unencapsulated(agent, data, len, from, &packet);
--- a/programs/daemon/balancer.c
+++ b/programs/daemon/balancer.c
@@ -92,7 +92,7 @@
     size_t len = ops->make_reset(packet, reset);
     size_t header_len = 0;
 
-    if (ops->framed) {
+    if (ops->encapsulated) {
         header_len = RpGeneve_Write(header, ops->protocol, NULL, NULL);
     }
     else {
@@ -110,7 +110,7 @@
 {
     struct rp_geneve geneve;
 
-    if (!ops->framed) {
+    if (!ops->encapsulated) {
         return ops->parse(data, len, packet, reason);
     }
     return RpGeneve_Parse(data, len, ops->protocol, &geneve, reason) &&
@@ -128,16 +128,16 @@
     char next[RP_ENDPOINT_TEXT_MAX];
 
     RpEndpoint_Format(RpFlowKey_Source(packet->key), caller);
-    RpEndpoint_Format(RpFlowKey_Target(packet->key), address);
+    RpEndpoint_Format(RpFlowKey_Destination(packet->key), address);
     RpEndpoint_Format(route->chain.hop[0], next);
     RpLog_Event(balancer->daemon.log, RP_LOG_INFO,
                 route->kind == RP_ROUTE_SEND ? "flow_routed" : "flow_unrouted",
                 "flow=%s>%s reason=%s copy=%u service=%u next=%s "
                 "candidates=%u revision=%" G_GUINT64_FORMAT " gathering=%d",
-                caller, address, RpCounter_Name(route->reason), packet->copy,
-                route->tag.service_id, route->chain.count ? next : "none",
-                route->chain.count, RpTable_Revision(table),
-                RpTable_MayLackMembers(table));
+                caller, address, RpCounter_Name(route->reason),
+                packet->syn_retransmits, route->tag.service_id,
+                route->chain.count ? next : "none", route->chain.count,
+                RpTable_Revision(table), RpTable_MayLackMembers(table));
 }
 
 static void
