--- a/programs/daemon/balancer.c
+++ b/programs/daemon/balancer.c
@@ -96,6 +96,7 @@
         header_len = RpGeneve_Write(header, ops->protocol, NULL, NULL);
     }
     else {
+        /* A packet outside Geneve goes to the caller's own address. */
         from = (struct rp_endpoint){.ip = packet->key.src_ip,
                                     .port = balancer->settings.listen.port};
     }
@@ -265,9 +266,9 @@
     return G_SOURCE_REMOVE;
 }
 
-/* Handles a stop request. From now on /healthz fails, and the fabric is told
- * to send no packets; packets are still forwarded until the fabric has had
- * time to react. */
+/* Handles a stop request. From now on /healthz and the fabric's readiness
+ * checks fail. Packets are still forwarded until the fabric has had time to
+ * send its traffic elsewhere. */
 static void
 on_stop(void *user)
 {
