--- a/tests/unit/test_edition.c
+++ b/tests/unit/test_edition.c
@@ -63,19 +63,20 @@
          "routes[0]: sum of target weights is 0, must be from 1 to "
          "4294967295\n"},
         {EDITION("1", SPLIT("10.1.0.1", "443", "-1", "2")),
-         "routes[0]: weight is missing or no whole number in range\n"},
-        {EDITION("0", ""), "configuration: version is not above 0\n"},
+         "routes[0]: weight is missing, not an integer or out of range\n"},
+        {EDITION("0", ""), "configuration: version must be at least 1\n"},
         {EDITION("\"7\"", ROUTE("10.1.0", "x", "5", "lens")),
-         "configuration: version is missing or no whole number in range\n"
-         "configuration: version is not above 0\n"
-         "routes[0]: host is no IPv4 address\n"
-         "routes[0]: path-prefix is no port between slashes\n"
+         "configuration: version is missing, not an integer or out of range\n"
+         "configuration: version must be at least 1\n"
+         "routes[0]: host is not an IPv4 address\n"
+         "routes[0]: path-prefix is not a port between slashes\n"
          "routes[0]: port must be from 1 to 65535\n"},
-        {"{\"version\":3}", "configuration: services is missing or no list\n"
-                            "configuration: routes is missing or no list\n"},
+        {"{\"version\":3}",
+         "configuration: services is missing or not a list\n"
+         "configuration: routes is missing or not a list\n"},
         {"{\"version\":3,\"services\":[7],\"routes\":[null]}",
-         "services[0]: entry is no object\n"
-         "routes[0]: entry is no object\n"},
+         "services[0]: entry is not an object\n"
+         "routes[0]: entry is not an object\n"},
     };
 
     (void)state;
--- a/tests/unit/test_host.c
+++ b/tests/unit/test_host.c
@@ -167,25 +167,25 @@
         {"{\"service\":\"lens\",\"slots\":7,\"state\":\"draining\","
          "\"seq\":4,\"new-field\":[1,2]}",
          ""},
-        {"", "body: is no object\n"},
-        {"[1]", "body: is no object\n"},
+        {"", "body: is not an object\n"},
+        {"[1]", "body: is not an object\n"},
         {"{\"service\":7,\"slots\":\"many\",\"state\":\"resting\",\"seq\":-1,"
          "\"born\":\"today\"}",
-         "report: service is missing or no text\n"
-         "report: service is no name\n"
-         "report: born is missing or no whole number in range\n"
-         "report: seq is missing or no whole number in range\n"
-         "report: slots is missing or no whole number in range\n"
+         "report: service is missing or not a string\n"
+         "report: service is not a valid name\n"
+         "report: born is missing, not an integer or out of range\n"
+         "report: seq is missing, not an integer or out of range\n"
+         "report: slots is missing, not an integer or out of range\n"
          "report: state is neither ready nor draining\n"},
-        {"{}", "report: service is missing or no text\n"
-               "report: service is no name\n"
-               "report: seq is missing or no whole number in range\n"
-               "report: slots is missing or no whole number in range\n"
-               "report: state is missing or no text\n"
+        {"{}", "report: service is missing or not a string\n"
+               "report: service is not a valid name\n"
+               "report: seq is missing, not an integer or out of range\n"
+               "report: slots is missing, not an integer or out of range\n"
+               "report: state is missing or not a string\n"
                "report: state is neither ready nor draining\n"},
         {"{\"service\":\"lens\",\"slots\":0.5,\"state\":null,\"seq\":1}",
-         "report: slots is missing or no whole number in range\n"
-         "report: state is missing or no text\n"
+         "report: slots is missing, not an integer or out of range\n"
+         "report: state is missing or not a string\n"
          "report: state is neither ready nor draining\n"},
     };
 
