--- a/lib/control/rp_catalog.h
+++ b/lib/control/rp_catalog.h
@@ -70,9 +70,11 @@
 GString *RpCatalog_EncodeEdition(const struct rp_edition *edition);
 
 /* Applies a command. `reply` receives the reply to a change or an edition,
- * and may be NULL; clear it with rp_msg_change_reply_schema. Returns
- * RP_ERR_FORMAT if the command cannot be decoded. A command that is refused
- * returns RP_OK, with the error code in the reply. */
+ * and may be NULL; clear it with rp_msg_change_reply_schema. A change or an
+ * edition that is refused returns RP_OK, with the error code in the reply; so
+ * does an edition that cannot be decoded. Any other command that cannot be
+ * decoded returns RP_ERR_FORMAT and leaves the reply as it was. An empty
+ * command changes nothing and returns RP_OK. */
 enum rp_code RpCatalog_Apply(struct rp_catalog *catalog, struct rp_str command,
                              struct rp_msg_change_reply *reply);
 
