--- a/lib/control/rp_host.c
+++ b/lib/control/rp_host.c
@@ -37,7 +37,7 @@
 /* Returns whether a report of another run belongs to a later run. The host's
  * wall clock may have been set back between two runs, so that the later run
  * has the earlier start time. Such a report is accepted if the known run has
- * timed out or said goodbye and the report has another id. */
+ * timed out or deregistered and the report has another id. */
 static bool
 is_later_run(const struct rp_host *host, int64_t now,
              const struct rp_host_report *report)
--- a/lib/control/rp_host.h
+++ b/lib/control/rp_host.h
@@ -48,9 +48,9 @@
     struct rp_name service; /* reports of other services are ignored */
     int64_t report_interval;
     bool has_report;   /* a report has been accepted */
-    bool said_goodbye; /* the host has said goodbye since its latest report */
+    bool said_goodbye; /* the host has deregistered since its latest report */
     struct rp_host_report last_report;
-    int64_t last_report_at; /* time of the latest report or goodbye */
+    int64_t last_report_at; /* time of the latest report or deregistration */
 };
 
 /* Initialises the state of a host of this service that has not sent a report
@@ -63,8 +63,8 @@
 RpHost_HandleReport(struct rp_host *host, int64_t now,
                     const struct rp_host_report *report);
 
-/* Handles a host's goodbye. Returns false, and changes nothing, if `id` is not
- * the id of the current run. */
+/* Handles a host's deregistration, which it sends before it stops. Returns
+ * false, and changes nothing, if `id` is not the id of the current run. */
 bool RpHost_HandleGoodbye(struct rp_host *host, int64_t now,
                           const struct rp_name *id);
 
--- a/lib/http/rp_http.c
+++ b/lib/http/rp_http.c
@@ -1,3 +1,4 @@
+/* Listening and answering with libsoup. */
 #include "rp_http.h"
 
 SoupServer *
--- a/lib/http/rp_http.h
+++ b/lib/http/rp_http.h
@@ -1,5 +1,5 @@
-/* A small HTTP server for what a process serves itself: the operator's
- * configuration, reports from hosts, metrics and health checks. */
+/* The HTTP server of a process, for the operator's configuration, reports from
+ * hosts, metrics and health checks. */
 #ifndef RP_HTTP_H
 #define RP_HTTP_H
 
--- a/lib/state/rp_replica.c
+++ b/lib/state/rp_replica.c
@@ -488,7 +488,7 @@
     }
     /* An append counts only if the leader's lease was valid and the leader
      * had committed an entry of its own term: otherwise another leader may
-     * have committed entries that this one does not know. */
+     * have committed entries that the sender does not know. */
     return replica->leader_id != 0 && replica->last_fresh_contact != 0 &&
            now - replica->last_fresh_contact < RP_LEASE_US &&
            replica->last_applied >= replica->leader_commit_index;
--- a/lib/state/rp_replica.h
+++ b/lib/state/rp_replica.h
@@ -122,7 +122,7 @@
 void RpReplica_Tick(struct rp_replica *replica, int64_t now);
 
 /* Handles a message from another replica; `msg` stays the caller's. Messages
- * addressed to another id are ignored. */
+ * addressed to another id are ignored. A join request counts as forwarded. */
 void RpReplica_Receive(struct rp_replica *replica, int64_t now,
                        const struct rp_msg *msg);
 
@@ -164,7 +164,7 @@
 
 /* Replaces the log up to the last applied entry by a snapshot of `data`, the
  * state after that entry. Adds no action: the caller must store
- * RpReplica_Snapshot and the entries that are left. */
+ * RpReplica_Snapshot and the remaining entries. */
 void RpReplica_Compact(struct rp_replica *replica, const GString *data);
 
 /* Returns the actions (struct rp_replica_action) added since the last call;
--- a/lib/state/rp_replica_internal.h
+++ b/lib/state/rp_replica_internal.h
@@ -17,8 +17,9 @@
     bool append_in_flight;    /* an append is not answered yet */
     uint64_t snapshot_offset; /* of the next chunk to send */
     bool vote_granted;        /* in the current vote or pre-vote */
-    /* It has heard from no leader since its start, as its vote replies say, or
-     * its process is gone: another one asks to join from its address. */
+    /* Its vote reply says that it has heard from no leader since its start, or
+     * its process is gone, because another one asks to join from its
+     * address. */
     bool restarted;
 };
 
@@ -131,7 +132,8 @@
  * all members for a startup pre-vote. */
 void RpReplica_SendVoteRequests(struct rp_replica *replica, uint64_t term,
                                 enum rp_vote_kind kind);
-/* Becomes a candidate of the next term and votes for itself. */
+/* Becomes a candidate of the next term, votes for itself and sends vote
+ * requests of this kind. */
 void RpReplica_StartElection(struct rp_replica *replica, int64_t now,
                              enum rp_vote_kind kind);
 /* Answers a vote, a pre-vote or a startup pre-vote. */
@@ -157,9 +159,10 @@
 void RpReplica_OnStartupPreVoteReply(struct rp_replica *replica, int64_t now,
                                      const struct rp_msg_vote_reply *reply);
 /* Records that the process of any other member at the address of `successor`
- * is gone, because another process uses that address now. Starts the election
- * if all members are known to have restarted by that. Does nothing if this
- * replica has had a leader since its start. */
+ * is gone, because another process uses that address now. If that was the last
+ * member not known to have restarted, and the startup pre-vote has a majority,
+ * starts the election. Does nothing if this replica has had a leader since its
+ * start. */
 void RpReplica_MarkReplacedMembers(struct rp_replica *replica, int64_t now,
                                    const struct rp_replica_member *successor);
 
--- a/programs/daemon/agent_host.c
+++ b/programs/daemon/agent_host.c
@@ -43,12 +43,10 @@
     }
 }
 
-/* Handles the first report after a start of the host. The flows from before
- * the start are lost.
- *
- * An agent that has run since before that start knows all flows of the
- * host.
- */
+/* Handles the first accepted report of a run of the host. Flows of an earlier
+ * run are lost. If the agent knew no earlier run, it knows all flows of the
+ * host only if this is the run's first report or the agent started before the
+ * run. */
 static void
 on_host_started(struct agent *agent, int64_t now, bool had_reported)
 {
@@ -74,16 +72,16 @@
     struct agent *agent = user;
     int64_t now = RpClock_Now();
     bool had_reported = agent->host.has_report;
-    enum rp_host_report_result outcome = RpHost_HandleReport(&agent->host, now,
-                                                             report);
+    enum rp_host_report_result result = RpHost_HandleReport(&agent->host, now,
+                                                            report);
 
-    if (outcome == RP_HOST_REPORT_FOREIGN) {
+    if (result == RP_HOST_REPORT_FOREIGN) {
         RpLog_Event(agent->daemon.log, RP_LOG_WARN, "host_foreign",
                     "host=%s service=%s", report->id.data,
                     report->service.data);
         return RP_ERR_NOT_FOUND;
     }
-    if (outcome == RP_HOST_REPORT_STALE) {
+    if (result == RP_HOST_REPORT_STALE) {
         RpLog_Event(agent->daemon.log, RP_LOG_WARN, "host_report_late",
                     "host=%s sequence=%" G_GUINT64_FORMAT
                     " known=%" G_GUINT64_FORMAT,
@@ -91,7 +89,7 @@
                     agent->host.last_report.sequence);
         return RP_OK;
     }
-    if (outcome == RP_HOST_REPORT_NEW_RUN) {
+    if (result == RP_HOST_REPORT_NEW_RUN) {
         on_host_started(agent, now, had_reported);
     }
     RpAgent_SetHostSlots(agent->flows, report->slots);
@@ -101,7 +99,7 @@
 }
 
 static enum rp_code
-on_host_left(void *user, const struct rp_name *id)
+on_host_deregisters(void *user, const struct rp_name *id)
 {
     struct agent *agent = user;
     int64_t now = RpClock_Now();
@@ -130,7 +128,7 @@
 {
     static const struct rp_platform_ops ops = {
         .host_report = on_host_report,
-        .host_deregisters = on_host_left,
+        .host_deregisters = on_host_deregisters,
         .unreadable = on_unreadable};
     struct rp_error error;
 
--- a/programs/daemon/control.c
+++ b/programs/daemon/control.c
@@ -132,7 +132,7 @@
 }
 
 /* Runs the leader's own duties: gives a new system its hash key, and releases
- * the addresses in quarantine once no node uses them any more. */
+ * the addresses in quarantine once no node uses them. */
 static void
 run_leader_duties(struct control *control, int64_t now)
 {
@@ -176,9 +176,9 @@
     }
 }
 
-/* Updates whether this replica is fresh or cut off from the leader, passes a
- * change on to the distribution and the registry, and closes its nodes'
- * connections when another replica may serve them better. */
+/* Updates whether this replica is fresh or cut off from the leader. After a
+ * change, updates the distribution and the registry. Closes the connections of
+ * its nodes when the disconnect policy says so. */
 static void
 update_freshness(struct control *control, int64_t now)
 {
--- a/programs/daemon/control.h
+++ b/programs/daemon/control.h
@@ -70,12 +70,12 @@
 
 /* Merges an announcement into the registry. If it changes a table, updates the
  * affected nodes and, when it comes from an agent, forwards it to the other
- * replicas. `via` is the replica that forwarded it, or NULL if it comes from
- * an agent connected here. */
+ * replicas. `source_replica` is the replica that forwarded it, or NULL if it
+ * comes from an agent connected here. */
 enum rp_registry_change
 RpControl_MergeAnnouncement(struct control *control,
                             const struct rp_msg_announce *announce,
-                            const struct rp_name *via);
+                            const struct rp_name *source_replica);
 
 /* Sends all nodes the addresses of the replicas, if the members have
  * changed. */
--- a/programs/daemon/control_editions.c
+++ b/programs/daemon/control_editions.c
@@ -19,7 +19,7 @@
     struct rp_platform_request *request;
     uint64_t term;
     uint64_t index; /* log index of a write; 0: this is a read */
-    uint64_t round; /* majority contact that a read waits for; 0: a write */
+    uint64_t round; /* heartbeat round that confirms a read; 0: a write */
     int64_t deadline;
 };
 
@@ -73,8 +73,8 @@
 }
 
 static void
-on_edition_sent(void *user, const struct rp_edition *edition,
-                struct rp_platform_request *request)
+on_edition_received(void *user, const struct rp_edition *edition,
+                    struct rp_platform_request *request)
 {
     struct control_editions *editions = user;
     struct control *control = editions->control;
@@ -111,7 +111,7 @@
 }
 
 static void
-on_edition_read(void *user, struct rp_platform_request *request)
+on_edition_requested(void *user, struct rp_platform_request *request)
 {
     struct control_editions *editions = user;
     struct control *control = editions->control;
@@ -170,7 +170,8 @@
         RpReplica_Role(replica) == RP_REPLICA_LEADER) {
         return false;
     }
-    /* Whether the request failed is not known, so the operator repeats it. */
+    /* The outcome of the request is unknown, so the operator must repeat
+     * it. */
     RpCounters_Add(&editions->control->daemon.counters,
                    RP_COUNT_CHANGE_TIMEOUT);
     RpPlatform_Answer(waiting->request, RP_ERR_TIMEOUT, NULL);
@@ -218,9 +219,10 @@
 struct control_editions *
 RpControlEditions_Open(struct control *control, struct rp_error *error)
 {
-    static const struct rp_platform_ops ops = {.edition_sent = on_edition_sent,
-                                               .edition_read = on_edition_read,
-                                               .unreadable = on_unreadable};
+    static const struct rp_platform_ops ops = {
+        .edition_sent = on_edition_received,
+        .edition_read = on_edition_requested,
+        .unreadable = on_unreadable};
     struct control_editions *editions = g_new0(struct control_editions, 1);
 
     editions->control = control;
--- a/programs/daemon/control_links.c
+++ b/programs/daemon/control_links.c
@@ -251,7 +251,9 @@
     const struct rp_msg msg = {.type = RP_MSG_JOIN,
                                .join = {.member = describe_self(control)}};
     RpControlLinks_SendAll(links, &msg);
-    /* A leader whose own address has changed must process its own request. */
+    /* A leader whose own address has changed must process its own request.
+     * `forwarded` is true, because the request was just sent to all
+     * replicas. */
     RpControlReplica_Join(control->replica, now, &msg.join.member, true);
 }
 
--- a/programs/daemon/control_nodes.c
+++ b/programs/daemon/control_nodes.c
@@ -83,7 +83,8 @@
     }
 }
 
-/* Logs an applied change and passes its service on to the nodes' tables. */
+/* Logs an applied change, and schedules a table update if the change was
+ * accepted and is new. */
 static void
 publish_change(struct control *control,
                const struct rp_msg_change_reply *reply)
@@ -207,7 +208,7 @@
 enum rp_registry_change
 RpControl_MergeAnnouncement(struct control *control,
                             const struct rp_msg_announce *announce,
-                            const struct rp_name *via)
+                            const struct rp_name *source_replica)
 {
     int64_t now = RpClock_Now();
     struct rp_counters *counters = &control->daemon.counters;
@@ -218,8 +219,8 @@
     if (known) {
         old_service = known->last_announce.service;
     }
-    enum rp_registry_change change = RpRegistry_Merge(control->registry, now,
-                                                      announce, via);
+    enum rp_registry_change change = RpRegistry_Merge(
+        control->registry, now, announce, source_replica);
     if (change == RP_REGISTRY_STALE || change == RP_REGISTRY_REFUSED) {
         RpCounters_Add(counters, RP_COUNT_ANNOUNCE_STALE);
         return change;
@@ -229,7 +230,7 @@
         return change;
     }
     const struct rp_msg msg = {.type = RP_MSG_ANNOUNCE, .announce = *announce};
-    if (!via) {
+    if (!source_replica) {
         RpControlLinks_SendAll(control->links, &msg);
     }
     RpLog_Event(control->daemon.log, RP_LOG_INFO, "upstream_announced",
@@ -496,6 +497,8 @@
         on_confirm(control, client, msg->confirm.revision);
         break;
     case RP_MSG_JOIN:
+        /* If the sender is not the replica that asks to join, it has forwarded
+         * the request. */
         RpControlReplica_Join(
             control->replica, now, &msg->join.member,
             !RpName_Equal(&client->hello.name, &msg->join.member.name));
--- a/programs/daemon/control_relay.c
+++ b/programs/daemon/control_relay.c
@@ -31,15 +31,15 @@
 }
 
 static void
-on_edition_sent(void *user, const struct rp_edition *edition,
-                struct rp_platform_request *request)
+on_edition_received(void *user, const struct rp_edition *edition,
+                    struct rp_platform_request *request)
 {
     (void)edition;
     redirect(user, request);
 }
 
 static void
-on_edition_read(void *user, struct rp_platform_request *request)
+on_edition_requested(void *user, struct rp_platform_request *request)
 {
     redirect(user, request);
 }
@@ -104,9 +104,10 @@
 static bool
 open_platform(struct relay *relay)
 {
-    static const struct rp_platform_ops ops = {.edition_sent = on_edition_sent,
-                                               .edition_read = on_edition_read,
-                                               .unreadable = on_unreadable};
+    static const struct rp_platform_ops ops = {
+        .edition_sent = on_edition_received,
+        .edition_read = on_edition_requested,
+        .unreadable = on_unreadable};
     struct rp_error error;
 
     if (relay->settings->operator_http.port == 0) {
--- a/programs/daemon/control_replica.c
+++ b/programs/daemon/control_replica.c
@@ -34,7 +34,9 @@
     uint64_t compact_at; /* size of the journal, in bytes */
     int64_t opened_at;
     bool unsynced; /* records were written after the last sync */
-    bool failed;   /* the disk failed: no part until the journal is reopened */
+    /* The disk failed: until the journal is reopened, messages and join
+     * requests are ignored and proposals are refused. */
+    bool failed;
     int64_t retry_deadline; /* when to reopen a failed journal */
     /* run_actions is under way: a nested call returns at once, and the outer
      * call runs the actions that it left. */
--- a/tests/unit/seeds.c
+++ b/tests/unit/seeds.c
@@ -1,4 +1,4 @@
-/* The choice of the seeds. */
+/* Chooses the seeds of a property test. */
 #include "seeds.h"
 
 #include <glib.h>
--- a/tests/unit/test_control_replica.c
+++ b/tests/unit/test_control_replica.c
@@ -113,7 +113,7 @@
     assert_int_equal(propose_edition(replica, 7), RP_OK);
     assert_int_equal(current_version(replica), 7);
 
-    /* Disk full: nothing is acknowledged, and the replica takes no part. */
+    /* On a full disk nothing is acknowledged and proposals are refused. */
     limit_file_size(64);
     propose_edition(replica, 8);
     assert_int_equal(calls.failed, 1);
@@ -121,7 +121,8 @@
     assert_int_equal(propose_edition(replica, 9), RP_ERR_NO_LEADER);
     assert_int_equal(calls.applied, 1);
 
-    /* Space again: the replica reads its journal again and leads again. */
+    /* Once there is space, the replica rereads its journal and becomes the
+     * leader. */
     limit_file_size(RLIM_INFINITY);
     later = RpClock_Now() + 2 * RP_US_PER_SECOND;
     RpControlReplica_Tick(replica, later);
--- a/tests/unit/test_host.c
+++ b/tests/unit/test_host.c
@@ -18,8 +18,8 @@
     return name;
 }
 
-/* One event of a sequence, a report or a goodbye, and the result that it must
- * have. */
+/* One event of a sequence, a report or a deregistration, and the result that
+ * it must have. */
 struct event {
     uint32_t at_ms;
     const char *id;
@@ -27,7 +27,7 @@
     uint64_t born;
     uint64_t sequence;
     bool draining;
-    bool goodbye;                      /* false: a report */
+    bool deregisters;                  /* false: a report */
     enum rp_host_report_result result; /* of a report */
     bool alive; /* whether the host may get new flows afterwards */
 };
@@ -50,7 +50,7 @@
             .slots = 7,
             .draining = event->draining};
 
-        if (event->goodbye) {
+        if (event->deregisters) {
             RpHost_HandleGoodbye(&host, now, &report.id);
         }
         else {
@@ -79,7 +79,7 @@
 {
     (void)state;
     RUN_EVENTS(
-        "reports and a goodbye of one run",
+        "reports and the deregistration of one run",
         {0, "i-1", NULL, 100, 1, false, false, RP_HOST_REPORT_NEW_RUN, true},
         {1200, "i-1", NULL, 100, 2, false, false, RP_HOST_REPORT_UNCHANGED,
          true},
@@ -128,7 +128,7 @@
         {3700, "i-2", NULL, 50, 2, false, false, RP_HOST_REPORT_NEW_RUN,
          true});
     RUN_EVENTS(
-        "a new run is accepted after a goodbye",
+        "a new run is accepted after a deregistration",
         {0, "i-1", NULL, 100, 1, false, false, RP_HOST_REPORT_NEW_RUN, true},
         {10, "i-1", NULL, 100, 0, false, true, RP_HOST_REPORT_UNCHANGED,
          false},
