--- a/lib/control/rp_distribution_internal.h
+++ b/lib/control/rp_distribution_internal.h
@@ -48,10 +48,10 @@
      * struct rp_msg_vip. */
     GHashTable *sent_vips;
     GHashTable *edition_services; /* names in the edition -> service ids */
-    bool sent_vips_filled;
+    bool sent_vips_filled;        /* a flush has filled `sent_vips` */
     struct pending pending;
-    uint64_t generation;
-    uint64_t sent_revision;
+    uint64_t generation;    /* of the services in tables: number of flushes */
+    uint64_t sent_revision; /* the catalogue's, at the last flush */
     uint64_t withheld_count;
     int64_t gathering_until; /* 0: agents have had time to announce */
     bool fresh;
--- a/lib/state/rp_replica.c
+++ b/lib/state/rp_replica.c
@@ -327,6 +327,7 @@
     if (!RpReplica_IsVoter(replica, replica->id)) {
         return;
     }
+    /* A sole voter can have no other leader, so it does not wait. */
     if (now >= replica->election_deadline || is_sole_voter(replica)) {
         RpReplica_StartPreVote(replica, now);
         return;
@@ -405,7 +406,7 @@
     case RP_MSG_SNAPSHOT:
         RpReplica_OnSnapshot(replica, now, &msg->snapshot);
         break;
-    default:
+    default: /* RP_MSG_SNAPSHOT_REPLY: the other types have no recipient */
         RpReplica_OnSnapshotReply(replica, now, &msg->snapshot_reply);
     }
 }
--- a/lib/state/rp_replica_lead.c
+++ b/lib/state/rp_replica_lead.c
@@ -252,6 +252,9 @@
     bool lease_was_valid = replica->lease_is_valid;
     replica->lease_is_valid = RpReplica_IsFresh(replica, now);
     if (!reply->accepted) {
+        /* The peer's log does not hold the entry before next_index. Go back
+         * by at least one entry, to the one after the index in the reply, but
+         * not to entries that the peer is known to store. */
         peer->next_index = MIN(peer->next_index - 1, reply->match + 1);
         peer->next_index = MAX(peer->next_index, peer->match_index + 1);
         peer->snapshot_offset = 0;
--- a/programs/daemon/control_editions.c
+++ b/programs/daemon/control_editions.c
@@ -73,8 +73,8 @@
 }
 
 static void
-on_edition_received(void *user, const struct rp_edition *edition,
-                    struct rp_platform_request *request)
+on_edition_submitted(void *user, const struct rp_edition *edition,
+                     struct rp_platform_request *request)
 {
     struct control_editions *editions = user;
     struct control *control = editions->control;
@@ -220,7 +220,7 @@
 RpControlEditions_Open(struct control *control, struct rp_error *error)
 {
     static const struct rp_platform_ops ops = {
-        .edition_sent = on_edition_received,
+        .edition_sent = on_edition_submitted,
         .edition_read = on_edition_requested,
         .unreadable = on_unreadable};
     struct control_editions *editions = g_new0(struct control_editions, 1);
--- a/programs/daemon/control_nodes.c
+++ b/programs/daemon/control_nodes.c
@@ -350,8 +350,9 @@
     return rows;
 }
 
-/* Only a leader with a valid lease returns a document: the operator bases the
- * next change on it, so it must be current. */
+/* Fills the reply to a query for a document. Any replica but a leader with a
+ * valid lease replies with RP_ERR_NO_LEADER: the operator bases the next
+ * change on the document, so it must be current. */
 static void
 build_document_reply(const struct control *control,
                      const struct rp_name *service, struct rp_msg *msg)
@@ -503,7 +504,7 @@
             control->replica, now, &msg->join.member,
             !RpName_Equal(&client->hello.name, &msg->join.member.name));
         break;
-    default:
+    default: /* a message of the replicated log */
         RpControlLinks_SetReplicaName(control->links, RpReplica_Sender(msg),
                                       &client->hello.name);
         RpControlReplica_Receive(control->replica, now, msg);
--- a/programs/daemon/control_relay.c
+++ b/programs/daemon/control_relay.c
@@ -31,8 +31,8 @@
 }
 
 static void
-on_edition_received(void *user, const struct rp_edition *edition,
-                    struct rp_platform_request *request)
+on_edition_submitted(void *user, const struct rp_edition *edition,
+                     struct rp_platform_request *request)
 {
     (void)edition;
     redirect(user, request);
@@ -105,7 +105,7 @@
 open_platform(struct relay *relay)
 {
     static const struct rp_platform_ops ops = {
-        .edition_sent = on_edition_received,
+        .edition_sent = on_edition_submitted,
         .edition_read = on_edition_requested,
         .unreadable = on_unreadable};
     struct rp_error error;
--- a/tests/unit/replica_sim.c
+++ b/tests/unit/replica_sim.c
@@ -161,8 +161,8 @@
         return;
     }
     if (sim->inject_faults) {
-        int fate = sim_random_below(sim, 20);
-        copies = fate == 0 ? 0 : fate == 1 ? 2 : 1;
+        int fault = sim_random_below(sim, 20); /* 0: lost, 1: duplicated */
+        copies = fault == 0 ? 0 : fault == 1 ? 2 : 1;
     }
     while (copies-- > 0 &&
            sim->messages_in_flight->len < MAX_MESSAGES_IN_FLIGHT) {
--- a/tests/unit/test_replica_start.c
+++ b/tests/unit/test_replica_start.c
@@ -41,7 +41,8 @@
     return count;
 }
 
-/* One step of a restarting group: instances without a disk try to join. */
+/* One step of a restarting group: instances that lost their disk try to
+ * join. */
 static void
 step_restarting_group(struct sim *sim, unsigned lost_disks)
 {
