--- a/lib/control/rp_host.h
+++ b/lib/control/rp_host.h
@@ -48,7 +48,7 @@
     struct rp_name service; /* reports of other services are ignored */
     int64_t report_interval;
     bool has_report;   /* a report has been accepted */
-    bool said_goodbye; /* the host has deregistered since its latest report */
+    bool said_goodbye; /* since its latest report */
     struct rp_host_report last_report;
     int64_t last_report_at; /* time of the latest report or deregistration */
 };
