--- a/lib/state/rp_replica_lead.c
+++ b/lib/state/rp_replica_lead.c
@@ -41,7 +41,7 @@
     replica->leader_id = replica->id;
     g_array_set_size(replica->peers, 0);
     RpReplica_UpdatePeers(replica, now);
-    RpReplica_AppendEntry(replica, RP_ENTRY_NOTHING, NULL);
+    RpReplica_AppendEntry(replica, RP_ENTRY_NOOP, NULL);
     RpReplica_AdvanceCommit(replica);
     RpReplica_BroadcastAppend(replica, now, true);
 }
--- a/programs/daemon/control_editions.c
+++ b/programs/daemon/control_editions.c
@@ -203,7 +203,7 @@
         if (waiting->index != entry->index) {
             continue;
         }
-        RpCounters_Time(
+        RpCounters_AddDuration(
             &editions->control->daemon.counters, RP_HISTOGRAM_CHANGE_DECIDED,
             RpClock_Now() - (waiting->deadline - ANSWER_TIMEOUT_US));
         enum rp_code code = waiting->term == entry->term
--- a/programs/daemon/control_nodes.c
+++ b/programs/daemon/control_nodes.c
@@ -461,8 +461,9 @@
     if (RpDistribution_Confirm(control->distribution, now,
                                RpConn_Number(client->conn), revision) &&
         control->changed_at) {
-        RpCounters_Time(&control->daemon.counters, RP_HISTOGRAM_IN_FORCE,
-                        now - control->changed_at);
+        RpCounters_AddDuration(&control->daemon.counters,
+                               RP_HISTOGRAM_IN_FORCE,
+                               now - control->changed_at);
     }
 }
 
--- a/programs/daemon/control_replica.c
+++ b/programs/daemon/control_replica.c
@@ -217,8 +217,8 @@
         synced = false;
     }
     if (self->counters) {
-        RpCounters_Time(self->counters, RP_HISTOGRAM_DISK_SYNC,
-                        RpClock_Now() - started);
+        RpCounters_AddDuration(self->counters, RP_HISTOGRAM_DISK_SYNC,
+                               RpClock_Now() - started);
     }
     RpError_Clear(&error);
     self->unsynced = false;
