--- a/lib/state/rp_replica.c
+++ b/lib/state/rp_replica.c
@@ -327,6 +327,7 @@
     if (!RpReplica_IsVoter(replica, replica->id)) {
         return;
     }
+    /* A sole voter can have no other leader, so it does not wait. */
     if (now >= replica->election_deadline || is_sole_voter(replica)) {
         RpReplica_StartPreVote(replica, now);
         return;
@@ -405,7 +406,7 @@
     case RP_MSG_SNAPSHOT:
         RpReplica_OnSnapshot(replica, now, &msg->snapshot);
         break;
-    default:
+    default: /* RP_MSG_SNAPSHOT_REPLY: the other types have no recipient */
         RpReplica_OnSnapshotReply(replica, now, &msg->snapshot_reply);
     }
 }
@@ -488,7 +489,7 @@
     }
     /* An append counts only if the leader's lease was valid and the leader
      * had committed an entry of its own term: otherwise another leader may
-     * have committed entries that this one does not know. */
+     * have committed entries that the sender does not know. */
     return replica->leader_id != 0 && replica->last_fresh_contact != 0 &&
            now - replica->last_fresh_contact < RP_LEASE_US &&
            replica->last_applied >= replica->leader_commit_index;
