--- a/lib/flow/rp_agent.c
+++ b/lib/flow/rp_agent.c
@@ -28,7 +28,7 @@
     agent->counters = counters;
     agent->flows = RpFlowTable_Create(config->seed);
     agent->hold = RpHold_Create();
-    RpAgent_GateCreate(agent);
+    RpAgent_CreateRequestQueue(agent);
     if (RpHealth_Init(&agent->health, NULL) != RP_OK) {
         RpAgent_Free(agent);
         return NULL;
@@ -46,7 +46,7 @@
     g_queue_clear_full(&agent->short_timers, g_free);
     g_queue_clear_full(&agent->reservations, g_free);
     g_array_free(agent->lost_flows, TRUE);
-    RpAgent_GateFree(agent);
+    RpAgent_FreeRequestQueue(agent);
     RpFlowTable_Free(agent->flows);
     RpHold_Free(agent->hold);
     g_free(agent->action_packet);
@@ -60,7 +60,7 @@
 {
     agent->table = table;
     agent->service = service;
-    RpAgent_GateConfigure(agent);
+    RpAgent_ConfigureRequestQueue(agent);
 }
 
 void
@@ -79,7 +79,7 @@
 RpAgent_SetHostSlots(struct rp_agent *agent, uint32_t slots)
 {
     agent->config.slots = MAX(slots, 1);
-    RpAgent_GateConfigure(agent);
+    RpAgent_ConfigureRequestQueue(agent);
 }
 
 void
@@ -200,7 +200,7 @@
 
     actions->begins_request = RpAgent_TrackCaller(agent, flow, packet, now);
     if (!(packet->flags & (RP_TCP_RST | RP_TCP_SYN)) &&
-        RpAgent_GateDefersPacket(agent, now, flow, packet)) {
+        RpAgent_DeferPacket(agent, now, flow, packet)) {
         return;
     }
     if ((packet->flags & RP_TCP_SYN) && packet->payload_len > 0) {
--- a/lib/flow/rp_agent_flow.c
+++ b/lib/flow/rp_agent_flow.c
@@ -14,7 +14,7 @@
         agent->busy_flows++;
     }
     if (!busy) {
-        RpAgent_GateEndRequest(agent, flow);
+        RpAgent_EndRequest(agent, flow);
     }
     if (!busy && was_busy) {
         flow->flags &= (uint16_t) ~(RP_FLOW_BUSY | RP_FLOW_RESERVED);
@@ -218,7 +218,7 @@
     /* A sender sets PSH on the last segment of an answer. */
     bool ends_answer = packet->flags & (RP_TCP_PSH | RP_TCP_FIN);
     if (ends_answer && (packet->payload_len || (packet->flags & RP_TCP_FIN))) {
-        RpAgent_GateRecordAnswer(flow, now);
+        RpAgent_RecordAnswerTime(flow, now);
         RpAgent_SetBusy(agent, flow, false);
     }
 }
--- a/lib/flow/rp_agent_internal.h
+++ b/lib/flow/rp_agent_internal.h
@@ -263,33 +263,32 @@
                                 struct rp_flow *flow,
                                 struct rp_actions *actions);
 
-/* rp_agent_gate.c: queues requests that wait for a slot of the host. */
-void RpAgent_GateCreate(struct rp_agent *agent);
-void RpAgent_GateFree(struct rp_agent *agent);
+/* rp_agent_queue.c: queues requests that wait for a slot of the host. */
+void RpAgent_CreateRequestQueue(struct rp_agent *agent);
+void RpAgent_FreeRequestQueue(struct rp_agent *agent);
 
 /* Sets the slots of the request queue: the agent's configuration has their
  * number, the service the percentage that long requests may occupy. */
-void RpAgent_GateConfigure(struct rp_agent *agent);
+void RpAgent_ConfigureRequestQueue(struct rp_agent *agent);
 
 /* Starts or queues the request that a packet for the host belongs to. Returns
  * true if the packet must not be sent now: it is queued, or dropped because
  * the packet queue is full. */
-bool RpAgent_GateDefersPacket(struct rp_agent *agent, int64_t now,
-                              struct rp_flow *flow,
-                              const struct rp_packet *packet);
+bool RpAgent_DeferPacket(struct rp_agent *agent, int64_t now,
+                         struct rp_flow *flow, const struct rp_packet *packet);
 
 /* Frees the slot of a flow's request that has ended, or removes the request
  * from the queue; its queued packets then go to the host. */
-void RpAgent_GateEndRequest(struct rp_agent *agent, struct rp_flow *flow);
+void RpAgent_EndRequest(struct rp_agent *agent, struct rp_flow *flow);
 
 /* Records whether the answer that has just ended took RP_LONG_REQUEST_US or
  * longer: the flow's next request then counts as long. */
-void RpAgent_GateRecordAnswer(struct rp_flow *flow, int64_t now);
+void RpAgent_RecordAnswerTime(struct rp_flow *flow, int64_t now);
 
 /* Adds an action that sends at most one released packet; false if there is
  * none. */
-bool RpAgent_GateSendNext(struct rp_agent *agent, int64_t now,
-                          struct rp_actions *actions);
+bool RpAgent_SendReleasedPacket(struct rp_agent *agent, int64_t now,
+                                struct rp_actions *actions);
 
 /* rp_agent_silence.c: checks an open flow for a lost end when its deadline has
  * passed; probes or resets the ends. */
--- a/lib/flow/rp_agent_gate.c
+++ b/lib/flow/rp_agent_queue.c
@@ -17,7 +17,7 @@
 }
 
 void
-RpAgent_GateCreate(struct rp_agent *agent)
+RpAgent_CreateRequestQueue(struct rp_agent *agent)
 {
     agent->request_queue = RpRequestQueue_Create(UINT32_MAX, UINT32_MAX);
     agent->queued_packets = g_hash_table_new_full(
@@ -26,7 +26,7 @@
 }
 
 void
-RpAgent_GateFree(struct rp_agent *agent)
+RpAgent_FreeRequestQueue(struct rp_agent *agent)
 {
     RpRequestQueue_Free(agent->request_queue);
     g_hash_table_destroy(agent->queued_packets);
@@ -34,7 +34,7 @@
 }
 
 void
-RpAgent_GateConfigure(struct rp_agent *agent)
+RpAgent_ConfigureRequestQueue(struct rp_agent *agent)
 {
     uint32_t percent = agent->service ? agent->service->long_slots_percent
                                       : ALL_PERCENT;
@@ -110,8 +110,8 @@
 }
 
 bool
-RpAgent_GateDefersPacket(struct rp_agent *agent, int64_t now,
-                         struct rp_flow *flow, const struct rp_packet *packet)
+RpAgent_DeferPacket(struct rp_agent *agent, int64_t now, struct rp_flow *flow,
+                    const struct rp_packet *packet)
 {
     bool is_long = flow->flags & RP_FLOW_EXPECT_LONG;
 
@@ -143,7 +143,7 @@
 }
 
 void
-RpAgent_GateEndRequest(struct rp_agent *agent, struct rp_flow *flow)
+RpAgent_EndRequest(struct rp_agent *agent, struct rp_flow *flow)
 {
     if (flow->flags & RP_FLOW_STARTED) {
         RpRequestQueue_Finish(agent->request_queue,
@@ -158,7 +158,7 @@
 }
 
 void
-RpAgent_GateRecordAnswer(struct rp_flow *flow, int64_t now)
+RpAgent_RecordAnswerTime(struct rp_flow *flow, int64_t now)
 {
     if (!(flow->flags & RP_FLOW_STARTED)) {
         return;
@@ -192,8 +192,8 @@
 }
 
 bool
-RpAgent_GateSendNext(struct rp_agent *agent, int64_t now,
-                     struct rp_actions *actions)
+RpAgent_SendReleasedPacket(struct rp_agent *agent, int64_t now,
+                           struct rp_actions *actions)
 {
     while (agent->released_packets.length == 0 &&
            start_next_request(agent, now)) {
--- a/lib/flow/rp_agent_timer.c
+++ b/lib/flow/rp_agent_timer.c
@@ -151,7 +151,7 @@
         return true;
     }
     end_expired_reservations(agent, now);
-    if (RpAgent_GateSendNext(agent, now, actions)) {
+    if (RpAgent_SendReleasedPacket(agent, now, actions)) {
         return true;
     }
     struct rp_flow *flow = next_expired_short_timer(agent, now);
