--- a/lib/control/rp_host.c
+++ b/lib/control/rp_host.c
@@ -19,7 +19,7 @@
 bool
 RpHost_IsAlive(const struct rp_host *host, int64_t now)
 {
-    return host->has_report && !host->said_goodbye &&
+    return host->has_report && !host->is_deregistered &&
            now < RpHost_TimeoutDeadline(host);
 }
 
@@ -74,11 +74,12 @@
         if (!is_later_run(host, now, report)) {
             return RP_HOST_REPORT_STALE;
         }
-        host->said_goodbye = false;
+        host->is_deregistered = false;
         accept_report(host, now, report);
         return RP_HOST_REPORT_NEW_RUN;
     }
-    if (host->said_goodbye || report->sequence <= host->last_report.sequence) {
+    if (host->is_deregistered ||
+        report->sequence <= host->last_report.sequence) {
         return RP_HOST_REPORT_STALE;
     }
     bool unchanged = report->draining == host->last_report.draining &&
@@ -90,13 +91,13 @@
 }
 
 bool
-RpHost_HandleGoodbye(struct rp_host *host, int64_t now,
-                     const struct rp_name *id)
+RpHost_HandleDeregistration(struct rp_host *host, int64_t now,
+                            const struct rp_name *id)
 {
     if (!host->has_report || !RpName_Equal(&host->last_report.id, id)) {
         return false;
     }
-    host->said_goodbye = true;
+    host->is_deregistered = true;
     host->last_report_at = now;
     return true;
 }
--- a/lib/control/rp_host.h
+++ b/lib/control/rp_host.h
@@ -47,8 +47,8 @@
 struct rp_host {
     struct rp_name service; /* reports of other services are ignored */
     int64_t report_interval;
-    bool has_report;   /* a report has been accepted */
-    bool said_goodbye; /* since its latest report */
+    bool has_report;      /* a report has been accepted */
+    bool is_deregistered; /* since its latest report */
     struct rp_host_report last_report;
     int64_t last_report_at; /* time of the latest report or deregistration */
 };
@@ -65,8 +65,8 @@
 
 /* Handles a host's deregistration, which it sends before it stops. Returns
  * false, and changes nothing, if `id` is not the id of the current run. */
-bool RpHost_HandleGoodbye(struct rp_host *host, int64_t now,
-                          const struct rp_name *id);
+bool RpHost_HandleDeregistration(struct rp_host *host, int64_t now,
+                                 const struct rp_name *id);
 
 /* Returns whether the host has reported recently enough to get new flows. */
 bool RpHost_IsAlive(const struct rp_host *host, int64_t now);
--- a/programs/daemon/agent_host.c
+++ b/programs/daemon/agent_host.c
@@ -31,7 +31,7 @@
     if (agent->settings.host_reports.port == 0) {
         return;
     }
-    if (host->said_goodbye) {
+    if (host->is_deregistered) {
         set_host_state(agent, RP_HOST_GONE);
     }
     else if (!RpHost_IsAlive(host, now)) {
@@ -104,7 +104,7 @@
     struct agent *agent = user;
     int64_t now = RpClock_Now();
 
-    if (!RpHost_HandleGoodbye(&agent->host, now, id)) {
+    if (!RpHost_HandleDeregistration(&agent->host, now, id)) {
         RpLog_Event(agent->daemon.log, RP_LOG_WARN, "host_goodbye_foreign",
                     "host=%s", id->data);
     }
--- a/programs/daemon/control_editions.c
+++ b/programs/daemon/control_editions.c
@@ -220,8 +220,8 @@
 RpControlEditions_Open(struct control *control, struct rp_error *error)
 {
     static const struct rp_platform_ops ops = {
-        .edition_sent = on_edition_submitted,
-        .edition_read = on_edition_requested,
+        .edition_submitted = on_edition_submitted,
+        .edition_requested = on_edition_requested,
         .unreadable = on_unreadable};
     struct control_editions *editions = g_new0(struct control_editions, 1);
 
--- a/programs/daemon/control_relay.c
+++ b/programs/daemon/control_relay.c
@@ -105,8 +105,8 @@
 open_platform(struct relay *relay)
 {
     static const struct rp_platform_ops ops = {
-        .edition_sent = on_edition_submitted,
-        .edition_read = on_edition_requested,
+        .edition_submitted = on_edition_submitted,
+        .edition_requested = on_edition_requested,
         .unreadable = on_unreadable};
     struct rp_error error;
 
--- a/tests/unit/test_host.c
+++ b/tests/unit/test_host.c
@@ -51,7 +51,7 @@
             .draining = event->draining};
 
         if (event->deregisters) {
-            RpHost_HandleGoodbye(&host, now, &report.id);
+            RpHost_HandleDeregistration(&host, now, &report.id);
         }
         else {
             enum rp_host_report_result result = RpHost_HandleReport(&host, now,
