--- a/tests/measure/flow_model.c
+++ b/tests/measure/flow_model.c
@@ -84,7 +84,7 @@
     return &g_array_index(model->requests, struct request, number);
 }
 
-/* The number of candidates that the policy asks. */
+/* Returns the number of candidates that the policy asks. */
 static uint32_t
 chain_length(const struct model *model)
 {
@@ -242,7 +242,9 @@
     return best;
 }
 
-/* The decision of POLICY_ADAPT3, which exists only in this model. */
+/* Decides for POLICY_ADAPT3, which exists only in this model: admits a flow
+ * while the host's load is below 1.1 times its moving average, and always if
+ * a slot is free or no candidate is left. */
 static enum rp_decision
 decide_adaptively(struct model *model, uint32_t host,
                   const struct rp_load *load)
@@ -271,20 +273,20 @@
         .lowest_utilisation = request->lowest_utilisation,
         .last = request->position + 1 == length};
     enum rp_counter reason;
-    enum rp_decision verdict = RP_DECISION_ADMIT;
+    enum rp_decision decision = RP_DECISION_ADMIT;
     uint32_t next;
 
     if (model->policy == POLICY_ADAPT3) {
-        verdict = decide_adaptively(model, host, &load);
+        decision = decide_adaptively(model, host, &load);
     }
     else if (!request->forced) {
-        verdict = RpAdmission_Decide(model->admission, &load, &reason);
+        decision = RpAdmission_Decide(model->admission, &load, &reason);
     }
-    if (verdict == RP_DECISION_ADMIT) {
+    if (decision == RP_DECISION_ADMIT) {
         admit_flow(model, number, host, now);
         return;
     }
-    if (verdict == RP_DECISION_PASS_BACK) {
+    if (decision == RP_DECISION_PASS_BACK) {
         next = request->best;
         request->forced = true;
         request->position = 0;
@@ -293,9 +295,9 @@
         }
     }
     else {
-        uint8_t share = RpLoad_Utilisation(&load);
-        if (share < request->lowest_utilisation) {
-            request->lowest_utilisation = share;
+        uint8_t utilisation = RpLoad_Utilisation(&load);
+        if (utilisation < request->lowest_utilisation) {
+            request->lowest_utilisation = utilisation;
             request->best = host;
         }
         next = request->chain[++request->position];
--- a/tests/measure/heap.h
+++ b/tests/measure/heap.h
@@ -22,7 +22,8 @@
     uint64_t next_order;
 };
 
-/* Adds an event. `kind`, `subject` and `detail` are the model's. */
+/* Adds an event at `time`. The heap does not interpret `kind`, `subject` and
+ * `detail`. */
 void heap_push(struct heap *heap, int64_t time, int kind, uint32_t subject,
                uint32_t detail);
 
--- a/tests/measure/model.h
+++ b/tests/measure/model.h
@@ -12,7 +12,7 @@
 #define RUN_US INT64_C(40000000)     /* requests arrive for this long */
 #define WARM_UP_US INT64_C(10000000) /* not part of the statistics */
 #define SHORT_MEAN_US 20000.0        /* mean service time, short requests */
-#define LONG_FACTOR 30               /* long ones take so many times longer */
+#define LONG_FACTOR 30               /* long service times over short ones */
 #define DEFAULT_SEEDS 20
 
 /* A simulated service: its hosts, network and demand. Demand is low with a
@@ -37,7 +37,9 @@
     GArray *peak_waits; /* int64_t: short requests that arrive in a peak */
     GArray *waits;      /* int64_t: all short requests */
     GArray *long_waits; /* int64_t: all long requests */
-    double imbalance; /* most over mean busy slots of hosts, mean over peaks */
+    /* Busy slots of the busiest host over the mean of all hosts, as the mean
+     * over the peaks. */
+    double imbalance;
     uint64_t refused;
     uint64_t passed_on; /* times that a candidate passed a flow on */
     uint64_t requests;
@@ -79,7 +81,7 @@
 int64_t scale_service_time(const struct scenario *scenario, uint32_t host,
                            int64_t service, int64_t now);
 
-/* One-way delay between the agents of two hosts. */
+/* Returns the one-way delay between the agents of two hosts. */
 int64_t hop_delay(const struct scenario *scenario, uint32_t from, uint32_t to);
 
 /* Adds a request's wait to the results, unless it arrived in the warm-up. */
@@ -92,7 +94,7 @@
     double busy_time[MAX_HOSTS]; /* slot-microseconds in this peak */
     int64_t since[MAX_HOSTS];    /* busy_time is counted up to here */
     uint32_t busy[MAX_HOSTS];
-    double ratio_sum; /* of most over mean busy slots, by peak */
+    double ratio_sum; /* over the peaks: busiest host over mean of hosts */
     uint32_t peaks;
     bool in_peak;
 };
@@ -101,7 +103,8 @@
 void balance_record(struct balance *balance, const struct scenario *scenario,
                     int64_t now, uint32_t host, uint32_t busy);
 
-/* The mean over the peaks of the most over the mean busy slots of hosts. */
+/* Returns the mean over the peaks of this ratio: busy slots of the busiest
+ * host over the mean of all hosts. */
 double balance_result(const struct balance *balance);
 
 struct summary summarise(struct outcome *outcome);
--- a/tests/measure/pinned_model.c
+++ b/tests/measure/pinned_model.c
@@ -7,13 +7,17 @@
 
 #define LONG_CONNECTIONS 0.02 /* share of connections with long requests */
 
-enum event_kind { EV_ARRIVE, EV_DONE, EV_HOLD_OVER };
+enum event_kind {
+    EV_ARRIVE,       /* a request arrives at the agent */
+    EV_DONE,         /* the host finishes a request */
+    EV_MAX_WAIT_OVER /* a request has waited RP_REQUEST_MAX_WAIT_US */
+};
 
 enum policy {
     POLICY_IDEAL,       /* any host, short requests first: not pinned */
     POLICY_FIFO,        /* the host's own FIFO queue */
-    POLICY_SHORT_FIRST, /* gate without a cap, predicted class */
-    POLICY_CAP_70,      /* gate; long requests get 70% of the slots */
+    POLICY_SHORT_FIRST, /* request queue without a cap, predicted class */
+    POLICY_CAP_70,      /* request queue; long requests get 70% of the slots */
     POLICY_CAP_50,
     POLICY_CAP_30,
     POLICY_KNOWN_50, /* as CAP_50, but the class is known in advance */
@@ -38,7 +42,8 @@
     struct heap heap;
     GRand *rng;
     GArray *requests;
-    struct rp_request_queue *gates[MAX_HOSTS];
+    /* The agents' request queues, in front of the hosts. */
+    struct rp_request_queue *request_queues[MAX_HOSTS];
     uint32_t serving[MAX_HOSTS];
     GQueue queues[MAX_HOSTS]; /* the hosts' own queues, of request indexes */
     struct balance balance;
@@ -46,7 +51,7 @@
     bool mixed; /* any connection may have long requests */
 };
 
-/* The number of a host's slots that long requests may use at the same time. */
+/* Returns how many of a host's slots long requests may use at once. */
 static uint32_t
 long_slots(const struct model *model)
 {
@@ -99,16 +104,16 @@
     start_from_host_queue(model, host, now);
 }
 
-/* Moves requests that wait at the host's gate to the host, as many as the gate
- * admits. */
+/* Moves requests from the agent's request queue to the host, as many as the
+ * queue starts now. */
 static void
-admit_from_gate(struct model *model, uint32_t host, int64_t now)
+start_from_request_queue(struct model *model, uint32_t host, int64_t now)
 {
     struct rp_flow_key caller;
     bool is_long;
 
-    while (
-        RpRequestQueue_StartNext(model->gates[host], now, &caller, &is_long)) {
+    while (RpRequestQueue_StartNext(model->request_queues[host], now, &caller,
+                                    &is_long)) {
         enqueue_at_host(model, caller.src_ip, now);
     }
 }
@@ -131,10 +136,10 @@
     uint32_t best = 0;
 
     for (uint32_t i = 1; i < model->scenario->hosts; i++) {
-        if (RpRequestQueue_CountStarted(model->gates[i]) +
-                RpRequestQueue_CountWaiting(model->gates[i]) <
-            RpRequestQueue_CountStarted(model->gates[best]) +
-                RpRequestQueue_CountWaiting(model->gates[best])) {
+        if (RpRequestQueue_CountStarted(model->request_queues[i]) +
+                RpRequestQueue_CountWaiting(model->request_queues[i]) <
+            RpRequestQueue_CountStarted(model->request_queues[best]) +
+                RpRequestQueue_CountWaiting(model->request_queues[best])) {
             best = i;
         }
     }
@@ -167,13 +172,13 @@
         return;
     }
     struct rp_flow_key caller = {.src_ip = number, .src_port = 1};
-    if (RpRequestQueue_StartOrEnqueue(model->gates[request.host], now, caller,
-                                      request.predicted_long)) {
+    if (RpRequestQueue_StartOrEnqueue(model->request_queues[request.host], now,
+                                      caller, request.predicted_long)) {
         enqueue_at_host(model, number, now);
         return;
     }
-    heap_push(&model->heap, now + RP_REQUEST_MAX_WAIT_US, EV_HOLD_OVER, number,
-              request.host);
+    heap_push(&model->heap, now + RP_REQUEST_MAX_WAIT_US, EV_MAX_WAIT_OVER,
+              number, request.host);
 }
 
 static void
@@ -184,9 +189,9 @@
     balance_record(&model->balance, model->scenario, now, host,
                    model->serving[host]);
     if (model->policy != POLICY_FIFO) {
-        RpRequestQueue_Finish(model->gates[host],
+        RpRequestQueue_Finish(model->request_queues[host],
                               get_request(model, number)->predicted_long);
-        admit_from_gate(model, host, now);
+        start_from_request_queue(model, host, now);
     }
     start_from_host_queue(model, host, now);
 }
@@ -205,8 +210,8 @@
     struct event event;
 
     for (uint32_t i = 0; i < scenario->hosts; i++) {
-        model.gates[i] = RpRequestQueue_Create(scenario->slots,
-                                               long_slots(&model));
+        model.request_queues[i] = RpRequestQueue_Create(scenario->slots,
+                                                        long_slots(&model));
     }
     heap_push(&model.heap, 1, EV_ARRIVE, 0, 0);
     while (heap_pop(&model.heap, &event)) {
@@ -217,12 +222,12 @@
             finish_service(&model, event.subject, event.detail, event.time);
         }
         else {
-            admit_from_gate(&model, event.detail, event.time);
+            start_from_request_queue(&model, event.detail, event.time);
         }
     }
     outcome->imbalance = balance_result(&model.balance);
     for (uint32_t i = 0; i < scenario->hosts; i++) {
-        RpRequestQueue_Free(model.gates[i]);
+        RpRequestQueue_Free(model.request_queues[i]);
     }
     heap_clear(&model.heap);
     g_array_free(model.requests, TRUE);
--- a/tests/measure/processes.sh
+++ b/tests/measure/processes.sh
@@ -24,6 +24,8 @@
                  END {print (sum["bytes_sent"] + sum["bytes_received"]) / (n["bytes_sent"] ? n["bytes_sent"] : 1)}'
 }
 
+# measure NODES KIND NAME: prints the figures of the control instance and of
+# the process NAME, one of NODES running nodes of this KIND.
 measure() {
     local nodes=$1 kind=$2 control=${PIDS[control-0]} one=${PIDS[$3]}
     local c0 c1 n0 n1 t0 t1
