--- a/lib/wire/rp_codec.h
+++ b/lib/wire/rp_codec.h
@@ -42,8 +42,8 @@
     size_t (*make_reset)(const struct rp_packet *packet,
                          uint8_t out[RP_CODEC_SCRATCH]);
     /* Writes a segment without payload; returns its size in bytes. NULL if
-     * segments cannot be forged, because an end only accepts what the other
-     * end has written itself. */
+     * segments cannot be forged, because each end accepts only bytes that the
+     * other end has written. */
     size_t (*make_segment)(struct rp_flow_key key, uint8_t flags, uint32_t seq,
                            uint32_t ack, uint8_t out[RP_CODEC_SCRATCH]);
     /* Copies a packet without its payload; returns the size of the copy in
--- a/tests/soak/soak.sh
+++ b/tests/soak/soak.sh
@@ -7,9 +7,11 @@
 #
 # Callers send requests over open connections during the whole run. The test
 # checks, as callers, hosts and the operator see it, that no request breaks or
-# is answered by another service, that no request reaches two hosts, and that
-# no acknowledged change is lost or replaced by an older one. STEPS sets the
-# number of faults per seed.
+# is answered by another service, that no non-idempotent request (a POST with
+# an X-Reading header) is handled twice, by one host or by two, and that no
+# acknowledged change is lost or replaced by an older one. For the POSTs it
+# looks for repeated reading= lines in the logs of all servers; it sends no
+# other kind of request. STEPS sets the number of faults per seed.
 #
 # tests/soak/failed lists seeds that failed once, each with its cause.
 set -u
--- a/tests/standins/fabric.c
+++ b/tests/standins/fabric.c
@@ -265,7 +265,8 @@
     g_free(datagram);
 }
 
-/* A balancer sends a packet back itself only if it refuses the flow. */
+/* A balancer answers a datagram itself only to refuse the flow with a reset.
+ * Forwards the reset to the caller. */
 static gboolean
 on_balancer_reply(gint fd, GIOCondition condition, gpointer data)
 {
