--- a/lib/flow/rp_agent.c
+++ b/lib/flow/rp_agent.c
@@ -28,7 +28,7 @@
     agent->counters = counters;
     agent->flows = RpFlowTable_Create(config->seed);
     agent->hold = RpHold_Create();
-    RpAgent_GateCreate(agent);
+    RpAgent_CreateRequestQueue(agent);
     if (RpHealth_Init(&agent->health, NULL) != RP_OK) {
         RpAgent_Free(agent);
         return NULL;
@@ -46,7 +46,7 @@
     g_queue_clear_full(&agent->short_timers, g_free);
     g_queue_clear_full(&agent->reservations, g_free);
     g_array_free(agent->lost_flows, TRUE);
-    RpAgent_GateFree(agent);
+    RpAgent_FreeRequestQueue(agent);
     RpFlowTable_Free(agent->flows);
     RpHold_Free(agent->hold);
     g_free(agent->action_packet);
@@ -60,7 +60,7 @@
 {
     agent->table = table;
     agent->service = service;
-    RpAgent_GateConfigure(agent);
+    RpAgent_ConfigureRequestQueue(agent);
 }
 
 void
@@ -79,7 +79,7 @@
 RpAgent_SetHostSlots(struct rp_agent *agent, uint32_t slots)
 {
     agent->config.slots = MAX(slots, 1);
-    RpAgent_GateConfigure(agent);
+    RpAgent_ConfigureRequestQueue(agent);
 }
 
 void
@@ -189,8 +189,8 @@
     RpAgent_EnterState(agent, flow, next, now);
 }
 
-/* Sends a caller's packet to the host, unless the gate queues it. A SYN is
- * sent without its payload. */
+/* Sends a caller's packet to the host, or queues it if its request must wait
+ * for a slot. A SYN is sent without its payload. */
 static void
 forward_to_host(struct rp_agent *agent, int64_t now, struct rp_flow *flow,
                 const struct rp_packet *packet, struct rp_actions *actions)
@@ -200,7 +200,7 @@
 
     actions->begins_request = RpAgent_TrackCaller(agent, flow, packet, now);
     if (!(packet->flags & (RP_TCP_RST | RP_TCP_SYN)) &&
-        RpAgent_GateDefersPacket(agent, now, flow, packet)) {
+        RpAgent_DeferPacket(agent, now, flow, packet)) {
         return;
     }
     if ((packet->flags & RP_TCP_SYN) && packet->payload_len > 0) {
@@ -281,7 +281,7 @@
     return geneve->has_tag && geneve->has_chain &&
            geneve->tag.service_id == service->tag.service_id &&
            geneve->tag.incarnation == service->tag.incarnation &&
-           is_service_address(service, RpFlowKey_Target(packet->key));
+           is_service_address(service, RpFlowKey_Destination(packet->key));
 }
 
 void
@@ -316,6 +316,8 @@
                                    actions);
     }
     else if (packet->flags & RP_TCP_RST) {
+        /* A host does not answer a reset, so the agent cannot query it with
+         * this packet: the reset goes to the host and to the next agent. */
         RpAgent_AddSendAction(agent, actions, RP_ACTION_TO_HOST,
                               RP_COUNT_PACKETS_OUT, packet->data, packet->len);
         RpAgent_ForwardToNextAgent(agent, now, NULL, packet, &geneve->chain,
@@ -366,8 +368,8 @@
     case RP_FLOW_DO_TO_CALLER:
         if (flow->state == RP_FLOW_SYN_SENT) {
             RpHealth_RecordSuccess(&agent->health, now);
-            RpCounters_Time(agent->counters, RP_HISTOGRAM_SYN_ANSWER,
-                            now - flow->host_seen);
+            RpCounters_AddDuration(agent->counters, RP_HISTOGRAM_SYN_ANSWER,
+                                   now - flow->host_seen);
         }
         change_state(agent, flow, step.next, now);
         forward_to_caller(agent, now, flow, packet, actions);
@@ -437,7 +439,7 @@
         forward_without_table(agent, packet, actions);
         return;
     }
-    if (!is_service_address(agent->service, RpFlowKey_Target(caller))) {
+    if (!is_service_address(agent->service, RpFlowKey_Destination(caller))) {
         RpAgent_AddAction(agent, actions, RP_ACTION_DROP,
                           RP_COUNT_DROP_WRONG_SERVICE);
         return;
@@ -468,7 +470,8 @@
         .position = chain->visited ? chain->visited - 1u : 0,
         .lowest_utilisation = chain->lowest_utilisation,
         .last = chain->visited >= chain->count,
-        .service_time_us = (uint32_t)MIN(agent->work.mean_us, UINT32_MAX)};
+        .service_time_us = (uint32_t)MIN(agent->service_time.mean_us,
+                                         UINT32_MAX)};
     if (vip) {
         load->priority = vip->priority;
         load->target_us = (uint32_t)MIN(vip->target_ms * RP_US_PER_MS,
--- a/lib/flow/rp_agent.h
+++ b/lib/flow/rp_agent.h
@@ -42,19 +42,21 @@
  * call. */
 struct rp_action {
     enum rp_action_kind kind;
-    enum rp_counter reason;
-    const uint8_t *data;
+    enum rp_counter reason; /* already counted when the call returns */
+    const uint8_t *data;    /* the packet to send; NULL with RP_ACTION_DROP */
     size_t len;
+    /* Only with RP_ACTION_TO_NEXT_AGENT: */
     struct rp_endpoint next;
     struct rp_chain chain;
-    struct rp_service_tag tag; /* of a forwarded packet */
+    struct rp_service_tag tag;
 };
 
 struct rp_actions {
     size_t count;
     bool begins_request; /* the packet is the first of a request */
     bool begins_answer;  /* the packet is the first of an answer */
-    int64_t answer_us;   /* time since the request went to the host */
+    int64_t answer_us;   /* with begins_answer: time since the request went to
+                          * the host */
     struct rp_action item[RP_MAX_ACTIONS];
     uint8_t scratch[RP_MAX_ACTIONS][RP_SCRATCH_SIZE];
 };
@@ -134,8 +136,9 @@
  * once, RP_NEVER that no timer is set. */
 int64_t RpAgent_NextTimer(const struct rp_agent *agent);
 
-/* Handles a packet from a caller. `geneve` holds the tag and the chain that
- * the packet arrived with. */
+/* Handles a packet from a caller. `geneve` holds the service tag and the chain
+ * of candidates that the packet arrived with. Drops the packet if the agent's
+ * table lacks its service or the packet is for another service. */
 void RpAgent_FromCaller(struct rp_agent *agent, int64_t now,
                         const struct rp_packet *packet,
                         const struct rp_geneve *geneve,
@@ -147,9 +150,9 @@
                       const struct rp_packet *packet,
                       struct rp_actions *actions);
 
-/* Handles at most one flow with an expired timer, or sends one packet that
- * the gate released. Returns false if nothing is left to do; callers repeat
- * the call until then. */
+/* Handles at most one flow with an expired timer, or sends one packet whose
+ * request has left the request queue. Returns false if nothing is left to do;
+ * callers repeat the call until then. */
 bool RpAgent_OnTimer(struct rp_agent *agent, int64_t now,
                      struct rp_actions *actions);
 
--- a/lib/flow/rp_agent_flow.c
+++ b/lib/flow/rp_agent_flow.c
@@ -14,7 +14,7 @@
         agent->busy_flows++;
     }
     if (!busy) {
-        RpAgent_GateEndRequest(agent, flow);
+        RpAgent_EndRequest(agent, flow);
     }
     if (!busy && was_busy) {
         flow->flags &= (uint16_t) ~(RP_FLOW_BUSY | RP_FLOW_RESERVED);
@@ -149,6 +149,7 @@
                     const struct rp_packet *packet, int64_t now)
 {
     uint32_t end = segment_end(packet);
+    /* False for a retransmission, which begins no request. */
     bool is_new = RpSeq_Distance(flow->caller_next, end) > 0;
 
     flow->caller_seen = now;
@@ -160,6 +161,8 @@
         !(flow->flags & RP_FLOW_OWNED)) {
         return false;
     }
+    /* Payload on a busy flow belongs to its outstanding request, unless the
+     * slot is only reserved for a request. */
     bool begins_request = !(flow->flags & RP_FLOW_BUSY) ||
                           (flow->flags & RP_FLOW_RESERVED);
     if (begins_request) {
@@ -181,10 +184,11 @@
 record_service_time(struct rp_agent *agent, const struct rp_flow *flow,
                     int64_t now)
 {
-    RpServiceTime_OnAnswer(&agent->work, now, agent->busy_flows,
+    RpServiceTime_OnAnswer(&agent->service_time, now, agent->busy_flows,
                            agent->config.slots);
     if (flow->flags & RP_FLOW_FOUND_FREE_SLOT) {
-        RpServiceTime_AddSample(&agent->work, now - flow->request_since);
+        RpServiceTime_AddSample(&agent->service_time,
+                                now - flow->request_since);
     }
 }
 
@@ -196,8 +200,8 @@
     if (packet->payload_len > 0 && (flow->flags & RP_FLOW_AWAITS_ANSWER)) {
         flow->flags &= (uint16_t)~RP_FLOW_AWAITS_ANSWER;
         record_service_time(agent, flow, now);
-        RpCounters_Time(agent->counters, RP_HISTOGRAM_FIRST_BYTE,
-                        now - flow->request_since);
+        RpCounters_AddDuration(agent->counters, RP_HISTOGRAM_FIRST_BYTE,
+                               now - flow->request_since);
     }
     if (packet->flags & RP_TCP_SYN) {
         flow->host_isn = packet->seq;
@@ -214,7 +218,7 @@
     /* A sender sets PSH on the last segment of an answer. */
     bool ends_answer = packet->flags & (RP_TCP_PSH | RP_TCP_FIN);
     if (ends_answer && (packet->payload_len || (packet->flags & RP_TCP_FIN))) {
-        RpAgent_GateRecordAnswer(flow, now);
+        RpAgent_RecordAnswerTime(flow, now);
         RpAgent_SetBusy(agent, flow, false);
     }
 }
--- a/lib/state/rp_replica_lead.c
+++ b/lib/state/rp_replica_lead.c
@@ -41,7 +41,7 @@
     replica->leader_id = replica->id;
     g_array_set_size(replica->peers, 0);
     RpReplica_UpdatePeers(replica, now);
-    RpReplica_AppendEntry(replica, RP_ENTRY_NOTHING, NULL);
+    RpReplica_AppendEntry(replica, RP_ENTRY_NOOP, NULL);
     RpReplica_AdvanceCommit(replica);
     RpReplica_BroadcastAppend(replica, now, true);
 }
@@ -252,6 +252,9 @@
     bool lease_was_valid = replica->lease_is_valid;
     replica->lease_is_valid = RpReplica_IsFresh(replica, now);
     if (!reply->accepted) {
+        /* The peer's log does not hold the entry before next_index. Go back
+         * by at least one entry, to the one after the index in the reply, but
+         * not to entries that the peer is known to store. */
         peer->next_index = MIN(peer->next_index - 1, reply->match + 1);
         peer->next_index = MAX(peer->next_index, peer->match_index + 1);
         peer->snapshot_offset = 0;
--- a/programs/daemon/agent.c
+++ b/programs/daemon/agent.c
@@ -1,5 +1,6 @@
 /* The agent role: runs beside one upstream instance, announces the upstream to
- * control, owns its flows and passes packets of other flows on. */
+ * control, owns its flows and forwards packets of other flows to their
+ * agents. */
 #include <glib-unix.h>
 #include <signal.h>
 #include <sodium.h>
@@ -141,7 +142,7 @@
     struct rp_endpoint fabric = agent->settings.fabric;
     size_t len = 0;
 
-    if (ops->framed) {
+    if (ops->encapsulated) {
         len = RpGeneve_Write(header, ops->protocol, NULL, NULL);
     }
     RpAgentLog_Action(agent, action);
@@ -153,8 +154,9 @@
                     action);
         break;
     case RP_ACTION_TO_CALLER:
-        if (!ops->framed) {
-            fabric.ip = ops->target(action->data).ip;
+        if (!ops->encapsulated) {
+            /* A packet outside Geneve goes to the caller's own address. */
+            fabric.ip = ops->destination(action->data).ip;
         }
         send_action(agent, agent->balancer_side, fabric, header, len, action);
         break;
@@ -202,7 +204,8 @@
 {
     const struct rp_codec_ops *ops = agent->codec->ops;
     enum rp_counter reason;
-    bool returned = ops->take_back && ops->take_back(data, len);
+    bool returned = ops->clear_returned_mark &&
+                    ops->clear_returned_mark(data, len);
 
     agent->received = NULL;
     if (ops->parse(data, len, packet, &reason)) {
@@ -217,6 +220,7 @@
     return false;
 }
 
+/* Logs the drops that RpAgentLog_Action does not log. */
 static void
 log_dropped_packets(struct agent *agent, struct rp_endpoint from)
 {
@@ -255,8 +259,8 @@
         }
         log_dropped_packets(agent, from);
         run_actions(agent);
-        /* Packets released from the gate must be sent before the next received
-         * packet is handled. */
+        /* Packets that leave the request queue must be sent before the next
+         * received packet is handled. */
         RpAgentRole_RunTimers(agent, now);
     }
 }
@@ -269,7 +273,7 @@
     struct rp_geneve geneve;
     struct rp_packet packet;
 
-    bool parsed = agent->codec->ops->framed
+    bool parsed = agent->codec->ops->encapsulated
                       ? parse_encapsulated(agent, data, len, from, &geneve,
                                            &packet)
                       : parse_unencapsulated(agent, data, len, from, &packet);
@@ -389,11 +393,13 @@
     .order_received = on_order,
     .newer_announcement = on_newer_announcement};
 
-/* Handles a stop request, which normally drains the upstream first.
+/* Handles a stop request. If the host sends no reports, the agent drains the
+ * upstream first.
  *
- * A host that reports itself drains by itself. While it is ready, only this
- * process is being replaced: it exits at once, and the next agent learns the
- * flows from the host.
+ * A host that sends reports drains on its own. If it is ready, only the agent
+ * is being replaced: the agent exits at once, and the next agent learns the
+ * flows from the host. Otherwise the agent announces at once that the upstream
+ * is gone, and exits.
  */
 static void
 on_stop(void *user)
--- a/tests/measure/heap.c
+++ b/tests/measure/heap.c
@@ -1,11 +1,12 @@
+/* The event queue: a binary heap ordered by time, then by insertion. */
 #include "heap.h"
 
 #include <glib.h>
 
-#define FIRST_ROOM 1024
+#define FIRST_CAPACITY 1024
 
 static bool
-before(const struct event *a, const struct event *b)
+is_earlier(const struct event *a, const struct event *b)
 {
     return a->time < b->time || (a->time == b->time && a->order < b->order);
 }
@@ -14,21 +15,21 @@
 heap_push(struct heap *heap, int64_t time, int kind, uint32_t subject,
           uint32_t detail)
 {
-    if (heap->count == heap->room) {
-        heap->room = heap->room ? heap->room * 2 : FIRST_ROOM;
-        heap->events = g_renew(struct event, heap->events, heap->room);
+    if (heap->count == heap->capacity) {
+        heap->capacity = heap->capacity ? heap->capacity * 2 : FIRST_CAPACITY;
+        heap->events = g_renew(struct event, heap->events, heap->capacity);
     }
     struct event event = {.time = time,
                           .order = heap->next_order++,
                           .kind = kind,
                           .subject = subject,
                           .detail = detail};
-    size_t place = heap->count++;
-    while (place > 0 && before(&event, &heap->events[(place - 1) / 2])) {
-        heap->events[place] = heap->events[(place - 1) / 2];
-        place = (place - 1) / 2;
+    size_t index = heap->count++;
+    while (index > 0 && is_earlier(&event, &heap->events[(index - 1) / 2])) {
+        heap->events[index] = heap->events[(index - 1) / 2];
+        index = (index - 1) / 2;
     }
-    heap->events[place] = event;
+    heap->events[index] = event;
 }
 
 bool
@@ -39,23 +40,23 @@
     }
     *event = heap->events[0];
     struct event last = heap->events[--heap->count];
-    size_t place = 0;
+    size_t index = 0;
     for (;;) {
-        size_t child = place * 2 + 1;
+        size_t child = index * 2 + 1;
         if (child >= heap->count) {
             break;
         }
         if (child + 1 < heap->count &&
-            before(&heap->events[child + 1], &heap->events[child])) {
+            is_earlier(&heap->events[child + 1], &heap->events[child])) {
             child++;
         }
-        if (!before(&heap->events[child], &last)) {
+        if (!is_earlier(&heap->events[child], &last)) {
             break;
         }
-        heap->events[place] = heap->events[child];
-        place = child;
+        heap->events[index] = heap->events[child];
+        index = child;
     }
-    heap->events[place] = last;
+    heap->events[index] = last;
     return true;
 }
 
